--- a/src/edge/InstanceRegistry.cpp
+++ b/src/edge/InstanceRegistry.cpp
@@ -19,8 +19,8 @@
     constexpr std::chrono::milliseconds LeaseLifetime { 5000 };
     constexpr std::chrono::milliseconds LeaseRenewalInterval { 1600 };
     constexpr std::chrono::milliseconds MinRetryPause { 300 };
-    /// Each retry costs a call while the store is unreachable. After an outage all mirrors defer deletions, so that
-    /// instances whose leases expired have time to write their entries again.
+    /// Each retry costs a call while the store is unreachable. After an outage each StoreMirror defers deletions, so
+    /// that instances whose leases expired have time to write their entries again.
     constexpr std::chrono::milliseconds MaxRetryPause { 1200 };
     constexpr std::size_t MaxLoggedIdLength = 100;
     constexpr std::uint64_t UnreadableEntriesPerLogLine = 100;
@@ -178,6 +178,8 @@
     }
 }
 
+/// Acquires or renews the lease, and writes this instance's entry if the store does not hold it.
+/// @return whether the instance is registered
 Awaitable<bool> InstanceRegistry::maintainRegistration()
 {
     if (!m_lease.id) {
--- a/src/edge/PeerLink.cpp
+++ b/src/edge/PeerLink.cpp
@@ -18,9 +18,9 @@
     constexpr std::size_t MaxDatagramBytes = 65000;
     /// Space reserved in a datagram for the encoded forwardUntil.
     constexpr std::size_t MaxForwardUntilBytes = 300;
-    /// Limits the number of hops on slow links.
+    /// Minimum number of instances that a datagram is sent to directly. It limits the number of hops on slow links.
     constexpr std::size_t MinFanOut = 3;
-    /// Number of rounds in which a leaving instance announces it, as datagrams can be lost.
+    /// Number of rounds in which a leaving instance announces that it leaves, as datagrams can be lost.
     constexpr int LeavingAnnouncements = 3;
     /// Number of rounds in which a datagram is sent again, as datagrams can be lost.
     constexpr int RepeatRounds = 2;
--- a/src/edge/QuarantineStore.cpp
+++ b/src/edge/QuarantineStore.cpp
@@ -16,13 +16,12 @@
 namespace {
 
     constexpr const char* QuarantinePrefix = "crocusmount/quarantine/";
-    /// Maximum number of entries in the store. When it is reached, a new entry replaces the oldest one. Instances that
-    /// know of the replaced quarantine keep it.
+    /// Maximum number of entries in the store. When it is reached, a new entry replaces the oldest one.
     constexpr std::size_t MaxEntries = 64;
     /// Entries older than this are deleted when the next entry is written.
     constexpr std::chrono::minutes EntryLifetime { 30 };
-    /// The instance that came to a verdict first writes it at once. The others write it if it is not in the store after
-    /// this time, one after the other.
+    /// The instance that comes to a verdict first writes it immediately. If the verdict is not in the store after this
+    /// time, the other instances try to write it, one after the other.
     constexpr std::chrono::milliseconds FinderWriteTimeout { 1000 };
     /// Delay between the writes of two other instances of adjacent ranks.
     constexpr std::chrono::milliseconds WriteDelayPerRank { 400 };
@@ -144,6 +143,7 @@
         net::detached);
 }
 
+/// Writes the pending verdicts when they are due. Returns when there are none left.
 Awaitable<void> QuarantineStore::writeLoop()
 {
     Timer timer(m_context.get_executor());
--- a/src/edge/StoreMirror.cpp
+++ b/src/edge/StoreMirror.cpp
@@ -17,7 +17,7 @@
     /// Maximum pause between failed calls to the store of a distributor that receives a peer's progress. The peer calls
     /// the store more often and reports immediately when the store is back.
     constexpr std::chrono::milliseconds MaxDistributorRetryPause { 1500 };
-    /// Outages of at least this length may let other clients' leases expire. Shorter ones are retried calls.
+    /// Outages that are longer than this may let other clients' leases expire. Shorter ones are retried calls.
     constexpr std::chrono::milliseconds MinOutage { 1000 };
     /// Time after which a call to a store that has become silent fails.
     constexpr std::chrono::milliseconds SilentCallTimeout { 2000 };
@@ -86,6 +86,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - m_lastAnswer);
 }
 
+/// Reads or watches the store while that is this instance's task, and otherwise waits until it becomes so.
 Awaitable<void> StoreMirror::watchLoop()
 {
     Timer timer(m_context.get_executor());
@@ -120,6 +121,7 @@
     }
 }
 
+/// @return maximum pause between failed calls to the store
 std::chrono::milliseconds StoreMirror::maxRetryPause() const
 {
     if (!m_isComplete || m_watchRank == 0)
@@ -216,6 +218,7 @@
     co_return absl::OkStatus();
 }
 
+/// Replaces the copy with a complete one, and reports the differences as changes.
 void StoreMirror::replaceWith(const StoreRange& range)
 {
     std::set<std::string> present;
@@ -373,12 +376,15 @@
     m_revision = revision;
 }
 
+/// @return whether the copy is not fed and all instances before this one have had time to watch the store, or a peer is
+///         ahead
 bool StoreMirror::shouldWatch() const
 {
     // Missing changes are read without delay, as they may contain a configuration.
     return isBehindPeer() || std::chrono::steady_clock::now() >= m_feedValidUntil + watchDelay();
 }
 
+/// @return time from the end of a feed until this instance watches the store
 std::chrono::milliseconds StoreMirror::watchDelay() const
 {
     if (m_watchRank < MaxDistributors)
@@ -392,11 +398,14 @@
     return m_isWatching && m_isStoreReachable && !m_needsFullRead && m_watchRank < MaxDistributors;
 }
 
+/// @return whether a peer has had a later revision for so long that its changes will not arrive any more
 bool StoreMirror::isBehindPeer() const
 {
     return m_peerRevision > m_revision && std::chrono::steady_clock::now() > m_behindPeerSince + MaxPeerDelay;
 }
 
+/// Applies and reports one change, unless the copy already has it or a later one. Deletions are deferred for some time
+/// after an outage.
 void StoreMirror::applyEvent(const StoreEvent& event)
 {
     const std::string& key = event.entry.key;
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -258,7 +258,7 @@
     CHECK_TEXT("s/1 ",
         reportedDeletions({ { milliseconds(1100), std::nullopt, false }, { milliseconds(0), deletion, false } }));
     // The connection of a long idle watch breaks and the watch is renewed immediately (found by skanas-profili scale-2,
-    // with a dropped history).
+    // in which the store drops its history).
     CHECK_TEXT("s/1 ",
         reportedDeletions({ { milliseconds(2300), std::nullopt, true }, { milliseconds(1), deletion, false } }));
 }
--- a/tests/PeerLinkTest.cpp
+++ b/tests/PeerLinkTest.cpp
@@ -154,8 +154,8 @@
 }
 
 // Guards against an outdated configuration on an instance whose calls the store rejects while it serves the others. The
-// lease of such an instance expires, so the others no longer list it and send it no changes. If it is the first one of
-// its data centre, it would ignore changes from peers anyway. In a replay of such an outage of 20 s on six instances, a
+// lease of such an instance expires, so the others no longer list it and send it no changes. The first instance of a
+// data centre also ignored changes from peers. In a replay of such an outage of 20 s on six instances, a
 // configuration was confirmed at 12.02 s. It was in force on four of them at 12.02 s, and on the two others at 24.05
 // and 24.40 s. Until then these two answered valid calls with 401.
 TEST(PeerLink, AnInstanceThatTheStoreTurnsAwayLearnsOfAConfirmedChangeFromItsPeers)
