--- a/src/edge/AnswerPipe.h
+++ b/src/edge/AnswerPipe.h
@@ -10,103 +10,111 @@
 
 namespace crocusmount::relay {
 
-/// The head of a server's answer, without the headers that concern one connection only.
+/// The head of a server's answer, without hop-by-hop headers.
 struct AnswerHead {
     unsigned status = 200;
-    std::string reason;
+    std::string reason; ///< reason phrase of the status line; empty: the standard one is written
     std::vector<std::pair<std::string, std::string>> headers;
 };
 
-/// A whole answer.
+/// An answer that is delivered at once, as opposed to a stream.
 struct WholeAnswer {
     AnswerHead head;
     std::string body;
 };
 
-/// Carries one answer from the attempts to the coroutine that writes it to the caller.
+/// Passes one call's answer from its attempts to the coroutine that writes the answer to the caller. Single-threaded.
 class AnswerPipe {
 public:
     explicit AnswerPipe(net::io_context& context)
-        : m_wake(context.get_executor())
+        : m_changeSignal(context.get_executor())
     {
-        m_wake.expires_at(std::chrono::steady_clock::time_point::max());
+        m_changeSignal.expires_at(std::chrono::steady_clock::time_point::max());
     }
 
-    /// What came since the last look.
+    /// The parts of the answer that arrived since the previous call of next().
     struct Batch {
-        std::optional<AnswerHead> head; ///< of a stream
-        std::string bytes; ///< of a stream
-        bool ended = false; ///< the stream is complete
-        bool broken = false; ///< it never will be
-        std::optional<WholeAnswer> whole;
-        std::optional<effect::Refuse> refusal;
+        std::optional<AnswerHead> head; ///< head of a stream
+        std::string bytes; ///< next bytes of a stream's body
+        bool hasEnded = false; ///< the stream is complete
+        bool isBroken = false; ///< the answer was broken off and will never be complete
+        std::optional<WholeAnswer> wholeAnswer; ///< an answer of a backend server
+        std::optional<effect::Refuse> refusal; ///< an answer of this instance
 
-        bool empty() const { return !head && bytes.empty() && !ended && !broken && !whole && !refusal; }
+        bool empty() const { return !head && bytes.empty() && !hasEnded && !isBroken && !wholeAnswer && !refusal; }
     };
 
+    /// Starts a stream.
     void begin(AnswerHead head)
     {
-        change([&] { m_batch.head = std::move(head); });
+        update([&] { m_pending.head = std::move(head); });
     }
+    /// Adds bytes to the body of a stream.
     void append(std::string_view bytes)
     {
-        change([&] { m_batch.bytes.append(bytes); });
+        update([&] { m_pending.bytes.append(bytes); });
     }
+    /// Marks the stream as complete.
     void end()
     {
-        change([&] { m_batch.ended = true; });
+        update([&] { m_pending.hasEnded = true; });
     }
+    /// Ends the answer so that the caller sees that the answer is incomplete.
     void breakOff()
     {
-        change([&] { m_batch.broken = true; });
+        update([&] { m_pending.isBroken = true; });
     }
+    /// Delivers an answer of a backend server.
     void deliver(WholeAnswer answer)
     {
-        change([&] { m_batch.whole = std::move(answer); });
+        update([&] { m_pending.wholeAnswer = std::move(answer); });
     }
+    /// Delivers a refusal of this instance.
     void refuse(const effect::Refuse& refusal)
     {
-        change([&] { m_batch.refusal = refusal; });
+        update([&] { m_pending.refusal = refusal; });
     }
 
-    /// Keeps a server's failure in case no other attempt does better.
-    void hold(WholeAnswer failure) { m_held = std::move(failure); }
-    void deliverHeld()
+    /// Keeps a server's failure, to be delivered if no later attempt succeeds.
+    void keepFailure(WholeAnswer failure) { m_keptFailure = std::move(failure); }
+    /// Delivers the kept failure, or breaks the answer off if there is none.
+    void deliverKeptFailure()
     {
-        if (m_held)
-            deliver(*std::exchange(m_held, std::nullopt));
+        if (m_keptFailure)
+            deliver(*std::exchange(m_keptFailure, std::nullopt));
         else
             breakOff();
     }
 
-    /// Ends the wait of a coroutine whose caller has gone.
+    /// Ends next(), because the caller has closed its connection.
     void abandon()
     {
-        m_abandoned = true;
-        m_wake.cancel();
+        m_isAbandoned = true;
+        m_changeSignal.cancel();
     }
-    bool abandoned() const { return m_abandoned; }
+    bool isAbandoned() const { return m_isAbandoned; }
 
-    /// Waits until something came.
+    /// Waits until a part of the answer arrives or the pipe is abandoned.
+    /// @return the parts that arrived, perhaps none if the pipe is abandoned
     Awaitable<Batch> next()
     {
-        while (m_batch.empty() && !m_abandoned)
-            co_await m_wake.async_wait(net::as_tuple(useAwaitable));
-        co_return std::exchange(m_batch, Batch());
+        while (m_pending.empty() && !m_isAbandoned)
+            co_await m_changeSignal.async_wait(net::as_tuple(useAwaitable));
+        co_return std::exchange(m_pending, Batch());
     }
 
 private:
-    template <typename Change>
-    void change(Change&& apply)
+    template <typename Update>
+    void update(Update&& apply)
     {
         apply();
-        m_wake.cancel();
+        m_changeSignal.cancel();
     }
 
-    Timer m_wake;
-    Batch m_batch;
-    std::optional<WholeAnswer> m_held;
-    bool m_abandoned = false;
+    Timer m_changeSignal; ///< never expires; cancelled to wake up next()
+    Batch m_pending; ///< not yet taken by next()
+    std::optional<WholeAnswer> m_keptFailure;
+    bool m_isAbandoned = false;
 };
 
 } // namespace crocusmount::relay
--- a/src/edge/FrontServer.cpp
+++ b/src/edge/FrontServer.cpp
@@ -14,12 +14,12 @@
 
     constexpr auto asTuple = net::as_tuple(useAwaitable);
     constexpr int ListenBacklog = 1024;
-    /// Longest write to a caller that does not read.
-    constexpr std::chrono::seconds WriteLimit { 10 };
-    /// After an error of accept() other than the end, such as a lack of descriptors.
-    constexpr std::chrono::milliseconds PauseAfterAcceptError { 50 };
+    /// Longest time for one write to a caller, who may have stopped reading.
+    constexpr std::chrono::seconds WriteTimeout { 10 };
+    /// Delay before the next accept() after one failed, for example for lack of file descriptors.
+    constexpr std::chrono::milliseconds AcceptRetryDelay { 50 };
 
-    std::chrono::milliseconds toMs(Duration duration)
+    std::chrono::milliseconds toMilliseconds(Duration duration)
     {
         return std::chrono::duration_cast<std::chrono::milliseconds>(duration);
     }
@@ -32,7 +32,8 @@
         case Reason::UnknownKey:
             return 401;
         case Reason::CrashesServers:
-            // Callers do not send it again after this status. Where it has run, the answer must not deny that.
+            // A caller does not repeat a request after status 400. That status would deny that the request ran, so a
+            // request that may have run gets another one.
             if (refusal.run == RunState::NotRun)
                 return 400;
             break;
@@ -44,15 +45,16 @@
         return refusal.reason == Reason::TimedOut ? 504 : 502;
     }
 
-    /// An answer of this instance's own.
-    struct OwnAnswer {
+    /// An answer that this instance gives instead of a backend server.
+    struct InstanceAnswer {
         unsigned status = 503;
-        std::string reason;
-        RunState run = RunState::NotRun;
-        Duration retryAfter {};
+        std::string reason; ///< cause of the refusal, sent to the caller
+        RunState run = RunState::NotRun; ///< whether the call may have run on a backend server
+        Duration retryAfter {}; ///< zero: no Retry-After header is sent
     };
 
-    void appendHead(std::string& out, unsigned status, std::string_view reason)
+    /// Appends the status line.
+    void appendStatusLine(std::string& out, unsigned status, std::string_view reason)
     {
         const auto standard = http::obsolete_reason(static_cast<http::status>(status));
         absl::StrAppend(&out, "HTTP/1.1 ", status, " ");
@@ -60,13 +62,15 @@
         out.append("\r\n");
     }
 
-    void appendHeaders(std::string& out, const AnswerHead& head)
+    /// Appends the status line and the headers, without the blank line that ends the head.
+    void appendHead(std::string& out, const AnswerHead& head)
     {
-        appendHead(out, head.status, head.reason);
+        appendStatusLine(out, head.status, head.reason);
         for (const auto& [name, value] : head.headers)
             absl::StrAppend(&out, name, ": ", value, "\r\n");
     }
 
+    /// Appends a chunk of the chunked transfer coding. An empty chunk would end the body and is left out.
     void appendChunk(std::string& out, std::string_view bytes)
     {
         if (bytes.empty())
@@ -78,33 +82,34 @@
 
 } // namespace
 
+/// State that the server shares with its connections, which may outlive the server.
 struct FrontServer::Shared {
     net::io_context& context;
     Acceptor acceptor;
     RelayNode& node;
     const CallReader& reader;
-    std::size_t connections = 0;
-    std::size_t busy = 0;
-    bool closing = false;
-    std::set<Connection*> idle; ///< those that wait for a call
+    std::size_t connectionCount = 0; ///< open connections, and the one that the next accept() will open
+    std::size_t busyCalls = 0; ///< calls that were read and whose answers are not yet written
+    bool isCloseAnnounced = false; ///< announceClose() was called
+    std::set<Connection*> idleConnections; ///< connections that wait for a call
 };
 
-/// One caller's connection.
+/// Serves the calls on one caller's connection, one after another.
 class FrontServer::Connection : public std::enable_shared_from_this<FrontServer::Connection> {
 public:
     explicit Connection(std::shared_ptr<Shared> shared)
         : m_shared(std::move(shared))
         , m_stream(m_shared->context.get_executor())
     {
-        ++m_shared->connections;
+        ++m_shared->connectionCount;
     }
-    ~Connection() { --m_shared->connections; }
+    ~Connection() { --m_shared->connectionCount; }
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
     TcpStream& stream() { return m_stream; }
-    /// Ends the wait for a call. Bytes that have come by then are still read and answered.
-    void stopWaiting()
+    /// Ends the wait for a call and thereby the connection, unless bytes of a call have arrived: that call is answered.
+    void cancelIdleWait()
     {
         boost::system::error_code ignored;
         if (!m_stream.socket().available(ignored))
@@ -115,9 +120,9 @@
     {
         boost::system::error_code ignored;
         m_stream.socket().set_option(Tcp::no_delay(true), ignored);
-        bool open = true;
-        while (open)
-            open = co_await serveOne();
+        bool isOpen = true;
+        while (isOpen)
+            isOpen = co_await serveOne();
         m_stream.socket().shutdown(Tcp::socket::shutdown_send, ignored);
         m_stream.close();
     }
@@ -125,61 +130,66 @@
 private:
     using Parser = http::request_parser<http::string_body>;
 
+    /// Reads one call and writes its answer.
     /// @return whether the connection stays open
     Awaitable<bool> serveOne()
     {
         const CallLimits limits = m_shared->node.limits();
-        if (!m_buffer.size() && !co_await waitForBytes(limits))
+        if (!m_buffer.size() && !co_await waitForCall(limits))
             co_return false;
         Parser parser;
         parser.header_limit(limits.headerBytes);
         parser.body_limit(limits.bodyBytes);
         const auto error = co_await readRequest(parser, limits);
-        // After its time the stream has closed the socket, and a slow caller cannot be told.
+        // A timeout closes the socket, so that no answer can be written to a caller that sends too slowly.
         if (error == http::error::end_of_stream || error == net::error::connection_reset
             || error == beast::error::timeout)
             co_return false;
         if (error) {
-            co_await refuseUnread(error);
+            co_await refuseUnreadable(error);
             co_return false;
         }
         auto request = std::make_shared<CallerRequest>(parser.release());
         const bool keepAlive = request->keep_alive();
-        const bool written = co_await answer(std::move(request), keepAlive);
-        co_return written&& keepAlive && !m_closeAnnounced;
+        const bool written = co_await answerCall(std::move(request), keepAlive);
+        co_return written&& keepAlive && !m_closesAfterAnswer;
     }
 
-    Awaitable<bool> waitForBytes(const CallLimits& limits)
+    /// Waits for the first bytes of a call.
+    /// @return false if the connection is to be closed
+    Awaitable<bool> waitForCall(const CallLimits& limits)
     {
-        m_stream.expires_after(toMs(limits.idleTimeout));
-        m_shared->idle.insert(this);
+        m_stream.expires_after(toMilliseconds(limits.idleTimeout));
+        m_shared->idleConnections.insert(this);
         const auto [error, count] = co_await m_stream.async_read_some(m_buffer.prepare(4096), asTuple);
-        m_shared->idle.erase(this);
+        m_shared->idleConnections.erase(this);
         if (error)
             co_return false;
         m_buffer.commit(count);
         co_return true;
     }
 
+    /// Reads the head and the body, and asks the caller for the body where the caller waits for that.
     Awaitable<boost::system::error_code> readRequest(Parser& parser, const CallLimits& limits)
     {
-        m_stream.expires_after(toMs(limits.headerTimeout));
+        m_stream.expires_after(toMilliseconds(limits.headerTimeout));
         auto [error, count] = co_await http::async_read_header(m_stream, m_buffer, parser, asTuple);
         if (error)
             co_return error;
         if (parser.get()[http::field::expect] == "100-continue" && !parser.is_done()) {
-            static constexpr std::string_view goOn = "HTTP/1.1 100 Continue\r\n\r\n";
-            std::tie(error, count) = co_await net::async_write(m_stream, net::buffer(goOn), asTuple);
+            static constexpr std::string_view continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+            std::tie(error, count) = co_await net::async_write(m_stream, net::buffer(continueResponse), asTuple);
         }
-        m_stream.expires_after(toMs(limits.idleTimeout));
+        m_stream.expires_after(toMilliseconds(limits.idleTimeout));
         if (!error && !parser.is_done())
             std::tie(error, count) = co_await http::async_read(m_stream, m_buffer, parser, asTuple);
         co_return error;
     }
 
-    Awaitable<void> refuseUnread(const boost::system::error_code& error)
+    /// Answers a request that could not be read.
+    Awaitable<void> refuseUnreadable(const boost::system::error_code& error)
     {
-        OwnAnswer answer;
+        InstanceAnswer answer;
         answer.reason = "malformed_request";
         answer.status = 400;
         if (error == http::error::header_limit)
@@ -187,89 +197,93 @@
         else if (error == http::error::body_limit)
             answer.status = 413;
         DecisionLog::call("unread", "-", { { "status", answer.status }, { "error", error.message() } });
-        m_closeAnnounced = true;
-        const std::string noId;
-        co_await writeOwn(answer, noId);
+        m_closesAfterAnswer = true;
+        const std::string noCallId;
+        co_await writeInstanceAnswer(answer, noCallId);
     }
 
-    Awaitable<bool> answer(std::shared_ptr<CallerRequest> request, bool keepAlive)
+    /// Has a request answered.
+    /// @return whether the whole answer was written
+    Awaitable<bool> answerCall(std::shared_ptr<CallerRequest> request, bool keepAlive)
     {
-        const std::string callId((*request)[m_shared->node.names().callId]);
-        m_closeAnnounced = m_shared->closing || !keepAlive;
+        const std::string callId((*request)[m_shared->node.headerNames().callId]);
+        m_closesAfterAnswer = m_shared->isCloseAnnounced || !keepAlive;
         auto spec = m_shared->reader.read(request->base(), request->target());
         if (!spec.ok()) {
-            OwnAnswer malformed { 400, std::string(spec.status().message()), RunState::NotRun, Duration(0) };
-            co_return co_await writeOwn(malformed, callId);
+            InstanceAnswer malformed { 400, std::string(spec.status().message()), RunState::NotRun, Duration(0) };
+            co_return co_await writeInstanceAnswer(malformed, callId);
         }
-        ++m_shared->busy;
+        ++m_shared->busyCalls;
         m_stream.expires_never();
-        const RelayNode::OpenCall call = m_shared->node.open(std::move(request), *std::move(spec));
-        watch(call);
-        const bool written = co_await relay(call, callId);
-        m_stopWatch.emit(net::cancellation_type::all);
+        const RelayNode::CallHandle call = m_shared->node.openCall(std::move(request), *std::move(spec));
+        watchForClose(call);
+        const bool written = co_await relayAnswer(call, callId);
+        m_closeWatchCancellation.emit(net::cancellation_type::all);
         m_shared->node.callerLeft(call.id);
-        --m_shared->busy;
+        --m_shared->busyCalls;
         co_return written;
     }
 
-    /// Notices when the caller closes its side before the answer is complete.
-    void watch(const RelayNode::OpenCall& call)
+    /// Ends the call if the caller closes its side of the connection before the answer is complete.
+    void watchForClose(const RelayNode::CallHandle& call)
     {
         m_stream.socket().async_wait(Tcp::socket::wait_read,
-            net::bind_cancellation_slot(
-                m_stopWatch.slot(), [self = shared_from_this(), call](const boost::system::error_code& error) {
+            net::bind_cancellation_slot(m_closeWatchCancellation.slot(),
+                [self = shared_from_this(), call](const boost::system::error_code& error) {
                     if (error)
                         return;
-                    boost::system::error_code failed;
-                    // Readable without data: the caller closed. Data would be its next request.
-                    if (self->m_stream.socket().available(failed) && !failed)
+                    boost::system::error_code availableError;
+                    // Readable without data means that the caller closed. Data would be the caller's next request.
+                    if (self->m_stream.socket().available(availableError) && !availableError)
                         return;
                     call.pipe->abandon();
                     self->m_shared->node.callerLeft(call.id);
                 }));
     }
 
-    Awaitable<bool> relay(const RelayNode::OpenCall& call, const std::string& callId)
+    /// Writes the answer that arrives through the call's pipe.
+    /// @return whether the whole answer was written
+    Awaitable<bool> relayAnswer(const RelayNode::CallHandle& call, const std::string& callId)
     {
-        bool begun = false;
+        bool isHeadWritten = false;
         while (true) {
             AnswerPipe::Batch batch = co_await call.pipe->next();
-            if (call.pipe->abandoned())
+            if (call.pipe->isAbandoned())
                 co_return false;
-            if (batch.refusal && !begun)
+            if (batch.refusal && !isHeadWritten)
                 co_return co_await writeRefusal(*batch.refusal, callId);
-            if (batch.whole && !begun)
-                co_return co_await writeWhole(*batch.whole);
+            if (batch.wholeAnswer && !isHeadWritten)
+                co_return co_await writeWhole(*batch.wholeAnswer);
             std::string out;
-            if (batch.head && !begun) {
-                begun = true;
-                appendHeaders(out, *batch.head);
-                appendConnection(out);
+            if (batch.head && !isHeadWritten) {
+                isHeadWritten = true;
+                appendHead(out, *batch.head);
+                appendConnectionHeader(out);
                 out.append("Transfer-Encoding: chunked\r\n\r\n");
             }
             appendChunk(out, batch.bytes);
-            if (batch.ended)
+            if (batch.hasEnded)
                 out.append("0\r\n\r\n");
             if (!out.empty() && !co_await write(out))
                 co_return false;
-            if (batch.broken || batch.refusal || batch.whole)
+            if (batch.isBroken || batch.refusal || batch.wholeAnswer)
                 co_return false;
-            if (batch.ended)
+            if (batch.hasEnded)
                 co_return true;
         }
     }
 
-    void appendConnection(std::string& out) const
+    void appendConnectionHeader(std::string& out) const
     {
-        if (m_closeAnnounced)
+        if (m_closesAfterAnswer)
             out.append("Connection: close\r\n");
     }
 
     Awaitable<bool> writeWhole(const WholeAnswer& answer)
     {
         std::string out;
-        appendHeaders(out, answer.head);
-        appendConnection(out);
+        appendHead(out, answer.head);
+        appendConnectionHeader(out);
         absl::StrAppend(&out, "Content-Length: ", answer.body.size(), "\r\n\r\n");
         out.append(answer.body);
         co_return co_await write(out);
@@ -277,20 +291,20 @@
 
     Awaitable<bool> writeRefusal(const effect::Refuse& refusal, const std::string& callId)
     {
-        // A named value: g++ 12 destroys temporaries of a co_await expression twice.
-        const OwnAnswer answer { statusOf(refusal), toString(refusal.reason), refusal.run, refusal.retryAfter };
-        co_return co_await writeOwn(answer, callId);
+        // A named variable is needed, because g++ 12 destroys temporaries of a co_await expression twice.
+        const InstanceAnswer answer { statusOf(refusal), toString(refusal.reason), refusal.run, refusal.retryAfter };
+        co_return co_await writeInstanceAnswer(answer, callId);
     }
 
-    Awaitable<bool> writeOwn(const OwnAnswer& answer, const std::string& callId)
+    Awaitable<bool> writeInstanceAnswer(const InstanceAnswer& answer, const std::string& callId)
     {
         std::string out;
-        appendHead(out, answer.status, {});
+        appendStatusLine(out, answer.status, {});
         if (!callId.empty())
-            absl::StrAppend(&out, m_shared->node.names().callId, ": ", callId, "\r\n");
+            absl::StrAppend(&out, m_shared->node.headerNames().callId, ": ", callId, "\r\n");
         if (answer.run == RunState::NotRun && answer.retryAfter.count() > 0)
             absl::StrAppendFormat(&out, "Retry-After: %.2f\r\n", double(answer.retryAfter.count()) / 1e6);
-        appendConnection(out);
+        appendConnectionHeader(out);
         boost::json::object problem { { "type", "about:blank" }, { "status", answer.status },
             { "reason", answer.reason }, { "run", toString(answer.run) } };
         const std::string body = boost::json::serialize(problem);
@@ -299,9 +313,10 @@
         co_return co_await write(out);
     }
 
+    /// @return whether all bytes were written in time
     Awaitable<bool> write(const std::string& out)
     {
-        m_stream.expires_after(WriteLimit);
+        m_stream.expires_after(WriteTimeout);
         const auto [error, count] = co_await net::async_write(m_stream, net::buffer(out), asTuple);
         m_stream.expires_never();
         co_return !error;
@@ -310,8 +325,8 @@
     std::shared_ptr<Shared> m_shared;
     TcpStream m_stream;
     beast::flat_buffer m_buffer;
-    net::cancellation_signal m_stopWatch;
-    bool m_closeAnnounced = false;
+    net::cancellation_signal m_closeWatchCancellation; ///< ends the wait for the caller's close
+    bool m_closesAfterAnswer = false; ///< the current answer is the last on this connection, and says so
 };
 
 FrontServer::FrontServer(std::shared_ptr<Shared> shared)
@@ -332,12 +347,12 @@
     return std::unique_ptr<FrontServer>(new FrontServer(std::move(shared)));
 }
 
-void FrontServer::announceClose() { m_shared->closing = true; }
+void FrontServer::announceClose() { m_shared->isCloseAnnounced = true; }
 
 void FrontServer::closeIdle()
 {
-    for (Connection* connection : std::set<Connection*>(m_shared->idle))
-        connection->stopWaiting();
+    for (Connection* connection : std::set<Connection*>(m_shared->idleConnections))
+        connection->cancelIdleWait();
 }
 
 void FrontServer::stopAccepting()
@@ -346,22 +361,22 @@
     m_shared->acceptor.close(ignored);
 }
 
-std::size_t FrontServer::connections() const { return m_shared->connections; }
+std::size_t FrontServer::connections() const { return m_shared->connectionCount; }
 
-std::size_t FrontServer::busy() const { return m_shared->busy; }
+std::size_t FrontServer::busy() const { return m_shared->busyCalls; }
 
 Awaitable<void> FrontServer::acceptLoop(std::shared_ptr<Shared> shared)
 {
-    Timer pause(shared->context.get_executor());
+    Timer retryTimer(shared->context.get_executor());
     while (shared->acceptor.is_open()) {
         auto connection = std::make_shared<Connection>(shared);
         const auto [error] = co_await shared->acceptor.async_accept(connection->stream().socket(), asTuple);
         if (error == net::error::operation_aborted || !shared->acceptor.is_open())
             co_return;
         if (error) {
-            // Out of descriptors or the like: others are served, so wait and go on.
-            pause.expires_after(PauseAfterAcceptError);
-            co_await pause.async_wait(asTuple);
+            // For example for lack of file descriptors. Open connections are still served, so try again after a delay.
+            retryTimer.expires_after(AcceptRetryDelay);
+            co_await retryTimer.async_wait(asTuple);
             continue;
         }
         net::co_spawn(
--- a/src/edge/FrontServer.h
+++ b/src/edge/FrontServer.h
@@ -11,22 +11,27 @@
 
 class RelayNode;
 
-/// Takes calls from callers over HTTP/1.1 and writes them their answers.
+/// HTTP/1.1 server for callers: reads their calls, passes the calls to the RelayNode and writes the answers.
 class FrontServer {
 public:
-    /// @return the listening server, or the reason it cannot listen
+    /// Starts to listen.
+    /// @param address  "ip:port" to listen on
+    /// @param node     answers the calls; must outlive the connections
+    /// @param reader   reads the calls' heads; must outlive the connections
+    /// @return the listening server, or the reason why it cannot listen
     static absl::StatusOr<std::unique_ptr<FrontServer>> make(
-        net::io_context&, const std::string& address, RelayNode&, const CallReader&);
+        net::io_context&, const std::string& address, RelayNode& node, const CallReader& reader);
     ~FrontServer();
 
-    /// From now on each answer asks its caller to close the connection.
+    /// From now on, closes each connection after its answer and announces that in the answer ("Connection: close").
     void announceClose();
-    /// Closes the connections that wait for a next call, so that it goes elsewhere.
+    /// Closes the connections that wait for a call, so that their callers send the next call to another instance.
     void closeIdle();
-    /// Takes no further connections.
+    /// Accepts no further connections. Open connections are still served.
     void stopAccepting();
+    /// @return the number of open connections, plus one while the server accepts: it counts the next connection early
     std::size_t connections() const;
-    /// @return calls that were read and whose answers are not yet written
+    /// @return the number of calls that were read and whose answers are not yet written
     std::size_t busy() const;
 
 private:
--- a/src/edge/RelayNode.cpp
+++ b/src/edge/RelayNode.cpp
@@ -12,13 +12,14 @@
 
 namespace {
 
-    /// Granularity of waits, stalls and deadlines.
-    constexpr std::chrono::milliseconds BusyTick { 20 };
-    /// The same with no call open, when nothing can be due.
-    constexpr std::chrono::milliseconds IdleTick { 200 };
-    /// In logs, the time since an answer began that never did.
-    constexpr std::int64_t NotBegun = -1;
-
+    /// Interval of ticks while calls are open: the granularity of waits, stall detection and deadlines.
+    constexpr std::chrono::milliseconds BusyTickInterval { 20 };
+    /// Interval of ticks while no call is open, when no wait, stall or deadline can become due.
+    constexpr std::chrono::milliseconds IdleTickInterval { 200 };
+    /// Logged as the time since an answer began where no answer began.
+    constexpr std::int64_t NotBegunMs = -1;
+
+    /// @return the chain for logs: "id=begin-end,..."
     std::string chainText(const Chain& chain)
     {
         std::string text;
@@ -46,13 +47,14 @@
         return "finding";
     }
 
-    Finding findingOf(const ServerIdentity& identity, const BackendId& asked)
+    /// @param expected  the server that is registered at the probed address
+    Finding findingOf(const ServerIdentity& identity, const BackendId& expected)
     {
         if (identity.answer == CheckAnswer::Refused)
             return Finding::Ended;
         if (identity.answer == CheckAnswer::Silent || identity.id.value().empty())
             return Finding::Unknown;
-        return identity.id == asked ? Finding::Alive : Finding::Ended;
+        return identity.id == expected ? Finding::Alive : Finding::Ended;
     }
 
     bool isRefused(const EngineReport& report) { return report.answer == CheckAnswer::Refused; }
@@ -81,7 +83,7 @@
         return "belief";
     }
 
-    std::string keyText(std::uint64_t key) { return absl::StrCat(absl::Hex(key, absl::kZeroPad16)); }
+    std::string hexKey(std::uint64_t key) { return absl::StrCat(absl::Hex(key, absl::kZeroPad16)); }
 
     std::int64_t toMs(Duration duration)
     {
@@ -92,11 +94,11 @@
 
 RelayNode::RelayNode(net::io_context& context, RelayOptions options, HeaderNames names, EngineControl& control)
     : m_context(context)
-    , m_names(std::move(names))
-    , m_control(control)
+    , m_headerNames(std::move(names))
+    , m_engineControl(control)
     , m_reducer(std::move(options))
     , m_random(std::random_device {}())
-    , m_tick(context.get_executor())
+    , m_tickTimer(context.get_executor())
 {
     net::co_spawn(m_context.get_executor(), tickLoop(), net::detached);
 }
@@ -118,101 +120,101 @@
 Awaitable<void> RelayNode::tickLoop()
 {
     while (true) {
-        m_tick.expires_after(m_reducer.openCalls() ? BusyTick : IdleTick);
-        const auto [error] = co_await m_tick.async_wait(net::as_tuple(useAwaitable));
-        (void)error; // Woken early by the first call: the tick only comes sooner.
+        m_tickTimer.expires_after(m_reducer.openCalls() ? BusyTickInterval : IdleTickInterval);
+        const auto [error] = co_await m_tickTimer.async_wait(net::as_tuple(useAwaitable));
+        (void)error; // The first open call cancels the wait, so that the next tick comes sooner.
         post(event::Tick {});
     }
 }
 
-RelayNode::OpenCall RelayNode::open(std::shared_ptr<const CallerRequest> request, CallSpec spec)
+RelayNode::CallHandle RelayNode::openCall(std::shared_ptr<const CallerRequest> request, CallSpec spec)
 {
-    const RequestId id(m_nextCall++);
+    const RequestId id(m_nextRequestId++);
     spec.content = digestOf(*request, spec.host);
     auto pipe = std::make_shared<AnswerPipe>(m_context);
-    m_open[id] = { spec.name, spec.content.toText(), std::move(request), pipe, now(), std::nullopt, std::nullopt,
+    m_openCalls[id] = { spec.name, spec.content.toText(), std::move(request), pipe, now(), std::nullopt, std::nullopt,
         Duration(0), 0 };
     if (!m_reducer.openCalls())
-        m_tick.cancel();
+        m_tickTimer.cancel();
     post(event::CallArrived { id, std::move(spec) });
     return { id, std::move(pipe) };
 }
 
 void RelayNode::callerLeft(RequestId id)
 {
-    const auto found = m_open.find(id);
-    if (found == m_open.end())
+    const auto found = m_openCalls.find(id);
+    if (found == m_openCalls.end())
         return;
-    noteAnswer(found->second, "caller_left");
-    m_open.erase(found);
+    recordAnswer(found->second, "caller_left");
+    m_openCalls.erase(found);
     post(event::CallerLeft { id });
 }
 
 void RelayNode::post(RelayEventBody body)
 {
-    m_events.push_back(std::move(body));
-    if (m_reducing)
+    m_pendingEvents.push_back(std::move(body));
+    if (m_isReducing)
         return;
-    m_reducing = true;
-    while (!m_events.empty()) {
-        RelayEvent event { now(), entropy(), std::move(m_events.front()) };
-        m_events.pop_front();
+    m_isReducing = true;
+    while (!m_pendingEvents.empty()) {
+        RelayEvent event { now(), entropy(), std::move(m_pendingEvents.front()) };
+        m_pendingEvents.pop_front();
         RelayEffects effects;
         if (const auto* ended = std::get_if<event::AttemptEnded>(&event.body))
-            noteEnd(*ended);
+            recordAttemptEnd(*ended);
         if (const auto* begun = std::get_if<event::AnswerBegun>(&event.body))
-            noteBegun(*begun);
+            recordAnswerBegun(*begun);
         if (const auto* delivered = std::get_if<event::EventDelivered>(&event.body))
-            noteEvent(*delivered);
+            recordEvent(*delivered);
         m_reducer.reduce(event, effects);
         apply(effects);
     }
-    m_reducing = false;
+    m_isReducing = false;
 }
 
-void RelayNode::noteBegun(const event::AnswerBegun& begun)
+void RelayNode::recordAnswerBegun(const event::AnswerBegun& begun)
 {
-    if (const auto running = m_attempts.find(begun.attempt); running != m_attempts.end())
-        running->second.begun = now();
+    if (const auto running = m_runningAttempts.find(begun.attempt); running != m_runningAttempts.end())
+        running->second.begunAt = now();
 }
 
-void RelayNode::noteEvent(const event::EventDelivered& delivered)
+void RelayNode::recordEvent(const event::EventDelivered& delivered)
 {
-    const auto running = m_attempts.find(delivered.attempt);
-    const auto open = running == m_attempts.end() ? m_open.end() : m_open.find(running->second.call);
-    if (open == m_open.end())
+    const auto running = m_runningAttempts.find(delivered.attempt);
+    const auto open = running == m_runningAttempts.end() ? m_openCalls.end() : m_openCalls.find(running->second.call);
+    if (open == m_openCalls.end())
         return;
-    Open& call = open->second;
+    OpenCall& call = open->second;
     const TimePoint at = now();
-    if (call.lastEvent)
-        call.longestGap = std::max(call.longestGap, at - *call.lastEvent);
+    if (call.lastEventAt)
+        call.longestGap = std::max(call.longestGap, at - *call.lastEventAt);
     else
-        call.firstEvent = at;
-    call.lastEvent = at;
-    ++call.events;
+        call.firstEventAt = at;
+    call.lastEventAt = at;
+    ++call.eventCount;
 }
 
-void RelayNode::noteEnd(const event::AttemptEnded& ended)
+void RelayNode::recordAttemptEnd(const event::AttemptEnded& ended)
 {
-    const auto running = m_attempts.find(ended.attempt);
-    if (running == m_attempts.end())
+    const auto running = m_runningAttempts.find(ended.attempt);
+    if (running == m_runningAttempts.end())
         return;
-    const Running attempt = running->second;
+    const RunningAttempt attempt = running->second;
     const RequestId call = attempt.call;
-    m_attempts.erase(running);
-    const auto open = m_open.find(call);
-    if (open == m_open.end())
+    m_runningAttempts.erase(running);
+    const auto open = m_openCalls.find(call);
+    if (open == m_openCalls.end())
         return;
     if (ended.result == AttemptResult::Completed) {
-        noteAnswer(open->second, "completed", { { "status", ended.status } });
-        m_open.erase(open);
+        recordAnswer(open->second, "completed", { { "status", ended.status } });
+        m_openCalls.erase(open);
         return;
     }
-    DecisionLog::call("attempt_failed", open->second.name,
+    DecisionLog::call("attempt_failed", open->second.callId,
         { { "result", toString(ended.result) }, { "status", ended.status }, { "culprit", ended.culprit },
             { "server", attempt.server.value() }, { "chain", chainText(attempt.chain) },
-            { "request", open->second.content }, { "sent_ms", toMs(now() - attempt.started) },
-            { "begun_ms", attempt.begun ? toMs(now() - *attempt.begun) : NotBegun } });
+            { "request", open->second.digest }, { "sent_ms", toMs(now() - attempt.startedAt) },
+            { "begun_ms", attempt.begunAt ? toMs(now() - *attempt.begunAt) : NotBegunMs } });
 }
 
 void RelayNode::apply(const RelayEffects& effects)
@@ -223,34 +225,35 @@
 
 void RelayNode::on(const effect::StartAttempt& start)
 {
-    const auto found = m_open.find(start.call);
-    if (found == m_open.end())
+    const auto found = m_openCalls.find(start.call);
+    if (found == m_openCalls.end())
         return;
-    DecisionLog::call("attempt", found->second.name,
+    DecisionLog::call("attempt", found->second.callId,
         { { "route", start.route }, { "workspace", start.workspace }, { "server", start.server.value() },
-            { "request", found->second.content }, { "purpose", toString(start.purpose) }, { "address", start.address },
+            { "request", found->second.digest }, { "purpose", toString(start.purpose) }, { "address", start.address },
             { "chain", chainText(start.chain) }, { "remaining_ms", toMs(start.remaining) },
-            { "resume_after", start.resumeAfter.value_or(0) }, { "waited_ms", toMs(now() - found->second.arrived) } });
-    auto attempt = std::make_shared<UpstreamAttempt>(m_context, m_names, start, found->second.request,
+            { "resume_after", start.resumeAfter.value_or(0) },
+            { "waited_ms", toMs(now() - found->second.arrivedAt) } });
+    auto attempt = std::make_shared<UpstreamAttempt>(m_context, m_headerNames, start, found->second.request,
         found->second.pipe, [this](RelayEventBody body) { post(std::move(body)); });
-    m_attempts[start.attempt] = { start.call, attempt, start.server, start.chain, now(), std::nullopt };
+    m_runningAttempts[start.attempt] = { start.call, attempt, start.server, start.chain, now(), std::nullopt };
     attempt->start();
 }
 
 void RelayNode::on(const effect::CancelAttempt& cancel)
 {
-    const auto found = m_attempts.find(cancel.attempt);
-    if (found == m_attempts.end())
+    const auto found = m_runningAttempts.find(cancel.attempt);
+    if (found == m_runningAttempts.end())
         return;
-    noteCancelled(found->second, cancel.cause);
+    logCancelled(found->second, cancel.cause);
     found->second.attempt->cancel();
-    m_attempts.erase(found);
+    m_runningAttempts.erase(found);
 }
 
-void RelayNode::noteCancelled(const Running& attempt, CancelCause cause)
+void RelayNode::logCancelled(const RunningAttempt& attempt, CancelCause cause)
 {
-    if (const auto open = m_open.find(attempt.call); open != m_open.end()) {
-        DecisionLog::call("attempt_cancelled", open->second.name,
+    if (const auto open = m_openCalls.find(attempt.call); open != m_openCalls.end()) {
+        DecisionLog::call("attempt_cancelled", open->second.callId,
             { { "cause", toString(cause) }, { "server", attempt.server.value() },
                 { "chain", chainText(attempt.chain) } });
     }
@@ -258,31 +261,31 @@
 
 void RelayNode::on(const effect::HoldAnswer& hold)
 {
-    if (const auto found = m_attempts.find(hold.attempt); found != m_attempts.end())
+    if (const auto found = m_runningAttempts.find(hold.attempt); found != m_runningAttempts.end())
         found->second.attempt->hold();
 }
 
-void RelayNode::on(const effect::ContinueAnswer& released)
+void RelayNode::on(const effect::ContinueAnswer& order)
 {
-    if (const auto found = m_attempts.find(released.attempt); found != m_attempts.end())
+    if (const auto found = m_runningAttempts.find(order.attempt); found != m_runningAttempts.end())
         found->second.attempt->continueAnswer();
 }
 
-void RelayNode::on(const effect::AskStalledStage& question)
+void RelayNode::on(const effect::AskStalledStage& query)
 {
-    const auto found = m_open.find(question.call);
-    if (found == m_open.end())
+    const auto found = m_openCalls.find(query.call);
+    if (found == m_openCalls.end())
         return;
-    net::co_spawn(m_context.get_executor(), askStalledStage(question, found->second.name), net::detached);
+    net::co_spawn(m_context.get_executor(), askStalledStage(query, found->second.callId), net::detached);
 }
 
-Awaitable<void> RelayNode::askStalledStage(effect::AskStalledStage question, std::string name)
+Awaitable<void> RelayNode::askStalledStage(effect::AskStalledStage query, std::string callId)
 {
-    std::string address = question.address;
-    std::string call = name;
-    const std::string stage = co_await m_control.stalledStage(std::move(address), std::move(call));
-    DecisionLog::call("stalled", name, { { "asked", question.address }, { "stage", stage } });
-    post(event::StalledStageNamed { question.attempt, stage });
+    std::string address = query.address;
+    std::string call = callId;
+    const std::string stage = co_await m_engineControl.stalledStage(std::move(address), std::move(call));
+    DecisionLog::call("stalled", callId, { { "asked", query.address }, { "stage", stage } });
+    post(event::StalledStageNamed { query.attempt, stage });
 }
 
 void RelayNode::on(const effect::CheckEngine& check)
@@ -313,7 +316,7 @@
     const CrashSuspect& suspect = note.crash.suspect;
     DecisionLog::state(note.counts ? "server_ended_under_request" : "server_ended_in_group",
         { { "request", suspect.request.content.toText() }, { "workspace", suspect.request.workspace.value() },
-            { "server_key", keyText(note.crash.server) }, { "just_begun", suspect.sign == CrashSign::JustBegun } });
+            { "server_key", hexKey(note.crash.server) }, { "just_begun", suspect.sign == CrashSign::JustBegun } });
 }
 
 void RelayNode::on(const effect::QuarantineRequest& verdict)
@@ -343,7 +346,7 @@
 {
     std::string address = probe.address;
     std::string path = probe.path;
-    const ServerIdentity identity = co_await m_control.identify(std::move(address), std::move(path));
+    const ServerIdentity identity = co_await m_engineControl.identify(std::move(address), std::move(path));
     const Finding finding = findingOf(identity, probe.server);
     DecisionLog::state("server_probed",
         { { "server", probe.server.value() }, { "finding", toString(finding) }, { "said", identity.id.value() } });
@@ -353,7 +356,7 @@
 Awaitable<void> RelayNode::checkEngine(effect::CheckEngine check)
 {
     std::string address = check.address;
-    const EngineReport report = co_await m_control.check(std::move(address));
+    const EngineReport report = co_await m_engineControl.check(std::move(address));
     const bool answered = report.answer == CheckAnswer::Alive;
     DecisionLog::state("engine_checked",
         { { "engine", check.engine.value() }, { "answered", answered }, { "refused", isRefused(report) },
@@ -367,26 +370,27 @@
 {
     DecisionLog::state(toString(note.belief),
         { { "server", note.server.value() }, { "started_ms", note.startedAt.value() },
-            { "server_key", keyText(engineKey(note.server, note.startedAt)) } });
+            { "server_key", hexKey(engineKey(note.server, note.startedAt)) } });
 }
 
 void RelayNode::on(const effect::RerouteAttempt& order)
 {
-    const auto found = m_open.find(order.call);
-    if (found == m_open.end())
+    const auto found = m_openCalls.find(order.call);
+    if (found == m_openCalls.end())
         return;
-    net::co_spawn(m_context.get_executor(), giveReroute(order, found->second.name), net::detached);
+    net::co_spawn(m_context.get_executor(), sendReroute(order, found->second.callId), net::detached);
 }
 
-Awaitable<void> RelayNode::giveReroute(effect::RerouteAttempt order, std::string name)
+Awaitable<void> RelayNode::sendReroute(effect::RerouteAttempt order, std::string callId)
 {
     std::string address = order.address;
-    std::string call = name;
-    const OrderReply reply = co_await m_control.reroute(std::move(address), std::move(call), order.chain);
-    DecisionLog::call("reroute", name,
+    std::string call = callId;
+    const OrderReply reply = co_await m_engineControl.reroute(std::move(address), std::move(call), order.chain);
+    DecisionLog::call("reroute", callId,
         { { "chain", chainText(order.chain) }, { "accepted", reply.isAccepted() }, { "status", reply.status },
             { "culprit", reply.culprit } });
-    if (const auto running = m_attempts.find(order.attempt); reply.isAccepted() && running != m_attempts.end())
+    if (const auto running = m_runningAttempts.find(order.attempt);
+        reply.isAccepted() && running != m_runningAttempts.end())
         running->second.chain = order.chain;
     post(event::RerouteAnswered { order.attempt, reply.isAccepted(), reply.culprit });
     post(event::EngineStartSeen { order.chain.hops().front().backend, reply.startedAt });
@@ -394,54 +398,54 @@
 
 void RelayNode::on(const effect::Refuse& refusal)
 {
-    const auto found = m_open.find(refusal.call);
-    if (found == m_open.end())
+    const auto found = m_openCalls.find(refusal.call);
+    if (found == m_openCalls.end())
         return;
-    noteAnswer(found->second, "refused",
+    recordAnswer(found->second, "refused",
         { { "reason", toString(refusal.reason) }, { "run", toString(refusal.run) },
             { "retry_after_ms", toMs(refusal.retryAfter) }, { "limit", limitText(refusal.limit) } });
     found->second.pipe->refuse(refusal);
-    m_open.erase(found);
+    m_openCalls.erase(found);
 }
 
 void RelayNode::on(const effect::DeliverServerFailure& failure)
 {
-    const auto found = m_open.find(failure.call);
-    if (found == m_open.end())
+    const auto found = m_openCalls.find(failure.call);
+    if (found == m_openCalls.end())
         return;
-    noteAnswer(found->second, "server_failure");
-    found->second.pipe->deliverHeld();
-    m_open.erase(found);
+    recordAnswer(found->second, "server_failure");
+    found->second.pipe->deliverKeptFailure();
+    m_openCalls.erase(found);
 }
 
 void RelayNode::on(const effect::BreakAnswer& broken)
 {
-    const auto found = m_open.find(broken.call);
-    if (found == m_open.end())
+    const auto found = m_openCalls.find(broken.call);
+    if (found == m_openCalls.end())
         return;
-    noteAnswer(
+    recordAnswer(
         found->second, "broken_off", { { "reason", toString(broken.reason) }, { "limit", limitText(broken.limit) } });
     found->second.pipe->breakOff();
-    m_open.erase(found);
+    m_openCalls.erase(found);
 }
 
-void RelayNode::noteAnswer(const Open& open, std::string_view outcome, boost::json::object inputs)
+void RelayNode::recordAnswer(const OpenCall& call, std::string_view outcome, boost::json::object fields)
 {
-    inputs["outcome"] = outcome;
-    inputs["request"] = open.content;
-    const Duration total = now() - open.arrived;
+    fields["outcome"] = outcome;
+    fields["request"] = call.digest;
+    const Duration total = now() - call.arrivedAt;
     (outcome == "completed" ? m_latencies.completed : m_latencies.refused).observe(total);
-    if (open.firstEvent) {
-        m_latencies.firstEvent.observe(*open.firstEvent - open.arrived);
-        m_latencies.longestGap.observe(open.longestGap);
-        inputs["first_event_ms"] = toMs(*open.firstEvent - open.arrived);
-        inputs["longest_gap_ms"] = toMs(open.longestGap);
-        inputs["events"] = open.events;
+    if (call.firstEventAt) {
+        m_latencies.firstEvent.observe(*call.firstEventAt - call.arrivedAt);
+        m_latencies.longestGap.observe(call.longestGap);
+        fields["first_event_ms"] = toMs(*call.firstEventAt - call.arrivedAt);
+        fields["longest_gap_ms"] = toMs(call.longestGap);
+        fields["events"] = call.eventCount;
     }
-    inputs["total_ms"] = toMs(total);
+    fields["total_ms"] = toMs(total);
     if (m_reducer.routes())
-        inputs["configuration"] = m_reducer.routes()->configuration().version;
-    DecisionLog::call("answer", open.name, inputs);
+        fields["configuration"] = m_reducer.routes()->configuration().version;
+    DecisionLog::call("answer", call.callId, fields);
 }
 
 } // namespace crocusmount::relay
--- a/src/edge/RelayNode.h
+++ b/src/edge/RelayNode.h
@@ -21,7 +21,9 @@
 
 namespace crocusmount::relay {
 
-/// Runs the reducer: brings it events with time and entropy, and carries out its effects.
+/// Runs the relay's reducer: feeds it events, each with the current time and a random number, and carries out the
+/// effects that it returns. Events that arrive while an event is reduced are queued. Not thread-safe: every function
+/// runs on the thread of the io_context.
 class RelayNode {
 public:
     RelayNode(net::io_context&, RelayOptions, HeaderNames, EngineControl&);
@@ -29,60 +31,77 @@
     RelayNode(const RelayNode&) = delete;
     RelayNode& operator=(const RelayNode&) = delete;
 
-    /// One call as its caller's connection sees it.
-    struct OpenCall {
+    /// Refers to an open call on behalf of the caller's connection.
+    struct CallHandle {
         RequestId id;
-        std::shared_ptr<AnswerPipe> pipe;
+        std::shared_ptr<AnswerPipe> pipe; ///< delivers the answer
     };
 
-    /// Takes a call in; its answer comes through the pipe.
-    OpenCall open(std::shared_ptr<const CallerRequest>, CallSpec);
+    /// Starts to process a call.
+    /// @param request  as the caller sent it
+    /// @param spec     what the relay needs of the request; its content digest is computed here
+    CallHandle openCall(std::shared_ptr<const CallerRequest> request, CallSpec spec);
+    /// Ends a call whose caller closed its connection. Does nothing once the call has its final answer.
     void callerLeft(RequestId);
+    /// Passes an event to the reducer and carries out the effects.
     void post(RelayEventBody);
 
-    /// Has the other instances told what they are to know at once. @param peers  must outlive this
+    /// Sets where findings are sent that other instances need at once.
+    /// @param peers  must outlive this
     void setPeers(PeerSink& peers) { m_peers = &peers; }
-    /// Has verdicts on requests written down. @param quarantine  must outlive this
+    /// Sets where quarantined and cleared requests are stored.
+    /// @param quarantine  must outlive this
     void setQuarantine(QuarantineSink& quarantine) { m_quarantine = &quarantine; }
 
     const RelayReducer& reducer() const { return m_reducer; }
     const RelayLatencies& latencies() const { return m_latencies; }
-    const HeaderNames& names() const { return m_names; }
+    const HeaderNames& headerNames() const { return m_headerNames; }
+    /// @return the limits of the configuration in force, or the defaults before the first configuration
     CallLimits limits() const;
+    /// @return the time of the steady clock
     TimePoint now() const;
+    /// @return the next random number
     std::uint64_t entropy();
 
 private:
-    struct Open {
-        std::string name; ///< the caller's id, for logs
-        std::string content; ///< the digest of what it sent, for logs
+    /// A call without a final answer.
+    struct OpenCall {
+        std::string callId; ///< the caller's id of the call, for logs
+        std::string digest; ///< digest of the request's content as hexadecimal text, for logs
         std::shared_ptr<const CallerRequest> request;
         std::shared_ptr<AnswerPipe> pipe;
-        TimePoint arrived;
-        std::optional<TimePoint> firstEvent;
-        std::optional<TimePoint> lastEvent;
-        Duration longestGap {}; ///< between two events
-        std::uint32_t events = 0; ///< delivered, over all attempts
+        TimePoint arrivedAt;
+        std::optional<TimePoint> firstEventAt; ///< when the first event of a stream was delivered
+        std::optional<TimePoint> lastEventAt; ///< when the latest event of a stream was delivered
+        Duration longestGap {}; ///< longest time between two consecutive events
+        std::uint32_t eventCount = 0; ///< events delivered to the caller, over all attempts
     };
 
-    struct Running {
+    /// An attempt that has neither ended nor been cancelled.
+    struct RunningAttempt {
         RequestId call;
         std::shared_ptr<UpstreamAttempt> attempt;
-        BackendId server;
-        Chain chain; ///< after the last accepted reroute
-        TimePoint started;
-        std::optional<TimePoint> begun; ///< when the head of a success came
+        BackendId server; ///< the plain server or the first stage
+        Chain chain; ///< as of the last accepted reroute; no hops for a plain service
+        TimePoint startedAt;
+        std::optional<TimePoint> begunAt; ///< when the head of a successful answer arrived
     };
 
+    /// Posts a Tick event at regular intervals.
     Awaitable<void> tickLoop();
-    void noteBegun(const event::AnswerBegun&);
-    void noteEvent(const event::EventDelivered&);
-    void noteEnd(const event::AttemptEnded&);
-    void noteCancelled(const Running&, CancelCause);
-    Awaitable<void> askStalledStage(effect::AskStalledStage, std::string name);
+    void recordAnswerBegun(const event::AnswerBegun&);
+    void recordEvent(const event::EventDelivered&);
+    /// Removes the attempt. Ends its call if the answer is complete, and logs the failure otherwise.
+    void recordAttemptEnd(const event::AttemptEnded&);
+    void logCancelled(const RunningAttempt&, CancelCause);
+    /// Asks for the stalled stage of a stream and posts StalledStageNamed.
+    Awaitable<void> askStalledStage(effect::AskStalledStage, std::string callId);
+    /// Checks an engine and posts EngineChecked.
     Awaitable<void> checkEngine(effect::CheckEngine);
+    /// Probes a plain server and posts ServerProbed.
     Awaitable<void> probeServer(effect::ProbeServer);
-    Awaitable<void> giveReroute(effect::RerouteAttempt, std::string name);
+    /// Sends a reroute order and posts RerouteAnswered and EngineStartSeen.
+    Awaitable<void> sendReroute(effect::RerouteAttempt, std::string callId);
     void apply(const RelayEffects&);
     void on(const effect::StartAttempt&);
     void on(const effect::CancelAttempt&);
@@ -102,22 +121,25 @@
     void on(const effect::Refuse&);
     void on(const effect::DeliverServerFailure&);
     void on(const effect::BreakAnswer&);
-    void noteAnswer(const Open&, std::string_view outcome, boost::json::object inputs = {});
+    /// Logs the end of a call and adds its times to the latencies.
+    /// @param outcome  "completed" counts as a success, every other value as a refusal
+    /// @param fields   further fields of the log line
+    void recordAnswer(const OpenCall&, std::string_view outcome, boost::json::object fields = {});
 
     net::io_context& m_context;
-    HeaderNames m_names;
-    EngineControl& m_control;
-    PeerSink* m_peers = nullptr; ///< none: this instance is alone
-    QuarantineSink* m_quarantine = nullptr; ///< none: verdicts end with this instance
+    HeaderNames m_headerNames;
+    EngineControl& m_engineControl;
+    PeerSink* m_peers = nullptr; ///< null: nothing is shared with other instances
+    QuarantineSink* m_quarantine = nullptr; ///< null: nothing is stored, and verdicts end with this process
     RelayReducer m_reducer;
     RelayLatencies m_latencies;
     pcg64 m_random;
-    Timer m_tick;
-    std::uint64_t m_nextCall = 1;
-    absl::flat_hash_map<RequestId, Open> m_open;
-    absl::flat_hash_map<AttemptId, Running> m_attempts;
-    std::deque<RelayEventBody> m_events;
-    bool m_reducing = false;
+    Timer m_tickTimer;
+    std::uint64_t m_nextRequestId = 1;
+    absl::flat_hash_map<RequestId, OpenCall> m_openCalls;
+    absl::flat_hash_map<AttemptId, RunningAttempt> m_runningAttempts;
+    std::deque<RelayEventBody> m_pendingEvents; ///< not yet reduced, oldest first
+    bool m_isReducing = false; ///< post() is running, and reduces events that are posted meanwhile
 };
 
 } // namespace crocusmount::relay
--- a/src/edge/UpstreamAttempt.h
+++ b/src/edge/UpstreamAttempt.h
@@ -13,56 +13,78 @@
 
 using CallerRequest = http::request<http::string_body>;
 
-/// One attempt at one backend server: sends the call, checks the answer and hands it over.
+/// One attempt to have a call answered by a backend server: sends the request, checks the answer and passes the answer
+/// to the caller's pipe.
 class UpstreamAttempt : public std::enable_shared_from_this<UpstreamAttempt> {
 public:
-    using Post = std::function<void(RelayEventBody)>;
+    /// Receives the events of the attempt.
+    using PostEvent = std::function<void(RelayEventBody)>;
 
+    /// @param names    must outlive the attempt
+    /// @param order    the server to call, with deadline, chain and resume point
     /// @param request  as the caller sent it
-    /// @param pipe     where the answer goes
-    UpstreamAttempt(net::io_context&, const HeaderNames&, effect::StartAttempt,
-        std::shared_ptr<const CallerRequest> request, std::shared_ptr<AnswerPipe> pipe, Post);
+    /// @param pipe     receives the answer
+    UpstreamAttempt(net::io_context&, const HeaderNames& names, effect::StartAttempt order,
+        std::shared_ptr<const CallerRequest> request, std::shared_ptr<AnswerPipe> pipe, PostEvent);
 
-    /// Runs in the background until the attempt ended or was cancelled.
+    /// Runs the attempt in the background. Its end is posted as AttemptEnded, unless the attempt is cancelled.
     void start();
-    /// Closes the connection. Nothing is reported after that.
+    /// Closes the connection. No event is posted afterwards.
     void cancel();
 
-    /// Hands over no further event until continueAnswer.
+    /// Delivers no further event of a stream to the caller until continueAnswer().
     void hold();
+    /// Ends hold().
     void continueAnswer();
 
-    /// @return the call as the server gets it
-    static CallerRequest outgoing(const HeaderNames&, const effect::StartAttempt&, const CallerRequest&);
+    /// Builds the request for the server: the caller's request without hop-by-hop headers, credentials and headers that
+    /// only instances may set, and with the headers of this attempt.
+    /// @param request  as the caller sent it
+    static CallerRequest outgoing(const HeaderNames&, const effect::StartAttempt&, const CallerRequest& request);
 
 private:
     using Parser = http::response_parser<http::buffer_body>;
 
     Awaitable<event::AttemptEnded> run();
+    /// @return whether the connection was established in time
     Awaitable<bool> connect();
-    Awaitable<bool> readHead(std::unique_ptr<Parser>&);
-    Awaitable<bool> discard(Parser&);
-    Awaitable<bool> readSome(Parser&, std::string_view& bytes);
-    Awaitable<event::AttemptEnded> takeWhole(Parser&, bool success);
-    Awaitable<event::AttemptEnded> takeStream(Parser&);
+    /// Reads the head of the next answer on the connection.
+    /// @param parser  set to a new parser, which also reads the body
+    /// @return whether a head was read
+    Awaitable<bool> readHead(std::unique_ptr<Parser>& parser);
+    /// Reads the rest of an answer and ignores the bytes.
+    /// @return whether another answer may follow on the connection
+    Awaitable<bool> discardBody(Parser&);
+    /// Reads the next bytes of a body.
+    /// @param bytes  set to the bytes read; valid until the next read
+    /// @return false on an error or if the attempt was cancelled
+    Awaitable<bool> readBodyChunk(Parser&, std::string_view& bytes);
+    /// Reads the whole body, and delivers a success or keeps a failure.
+    Awaitable<event::AttemptEnded> relayWholeAnswer(Parser&, bool isSuccess);
+    /// Delivers a server-sent event stream, one whole event at a time.
+    Awaitable<event::AttemptEnded> relayStream(Parser&);
+    /// Delivers the whole events that the splitter contains.
+    /// @return whether the attempt may go on
     Awaitable<bool> deliverEvents(EventSplitter&, const AnswerHead&);
-    Awaitable<void> untilReleased();
+    /// Waits while hold() is in effect.
+    Awaitable<void> waitUntilReleased();
+    /// @return whether an answer belongs to this call
     bool isOwnAnswer(const Parser&) const;
-    event::AttemptEnded ended(AttemptResult, unsigned status = 0, std::string culprit = {}) const;
+    event::AttemptEnded makeEnded(AttemptResult, unsigned status = 0, std::string culprit = {}) const;
 
-    const HeaderNames& m_names;
-    effect::StartAttempt m_order;
+    const HeaderNames& m_headerNames;
+    effect::StartAttempt m_order; ///< the server to call, with deadline, chain and resume point
     std::shared_ptr<const CallerRequest> m_request;
     std::shared_ptr<AnswerPipe> m_pipe;
-    Post m_post;
+    PostEvent m_postEvent;
     TcpStream m_stream;
-    beast::flat_buffer m_buffer;
-    std::array<char, 8192> m_piece {};
-    std::uint64_t m_lastEvent = 0;
-    bool m_begun = false; ///< the caller has the head of the answer
-    bool m_cancelled = false;
-    bool m_held = false;
-    Timer m_release; ///< cancelled as a hold ends
+    beast::flat_buffer m_readAhead; ///< bytes received and not yet parsed
+    std::array<char, 8192> m_bodyChunk {}; ///< filled by each read of a body
+    std::uint64_t m_lastEventId = 0; ///< id of the last event that the caller has; 0: none
+    bool m_hasDeliveredHead = false; ///< the head of a stream was delivered to the caller
+    bool m_isCancelled = false;
+    bool m_isHeld = false; ///< hold() is in effect
+    Timer m_releaseSignal; ///< never expires; cancelled to end a hold
 };
 
 } // namespace crocusmount::relay
