--- a/src/edge/EngineControl.h
+++ b/src/edge/EngineControl.h
@@ -11,38 +11,45 @@
 
 namespace crocusmount {
 
-/// Gives orders to engines and asks servers how they are. Implemented by the platform's adapter.
+/// Sends orders to engines and health checks to backend servers. Implemented by the platform's adapter.
 class EngineControl {
 public:
     virtual ~EngineControl() = default;
 
-    /// Orders an engine to hold a range of layers, and no others. Layers that it gives up take no new calls; those that
-    /// pass through them end, or are moved off, before the new layers are loaded.
+    /// Orders an engine to hold a range of layers and no others. The engine accepts no new calls for the layers that it
+    /// gives up. It loads the new layers after the running calls through those layers have ended or moved elsewhere.
+    /// @param address  of the engine
     Awaitable<OrderReply> placeLayers(std::string address, LayerRange layers)
     {
         return onPlaceLayers(std::move(address), layers);
     }
 
-    /// Orders the first stage of a running stream to go on over another chain.
-    /// @param call  the caller's id of the call, under which the engine knows it
+    /// Orders the first stage of a running stream to continue the stream over another chain.
+    /// @param address  of the first stage
+    /// @param call     the caller's id of the call, by which the engine identifies the stream
+    /// @param chain    begins with the same first stage
     Awaitable<OrderReply> reroute(std::string address, std::string call, Chain chain)
     {
         return onReroute(std::move(address), std::move(call), std::move(chain));
     }
 
-    /// Asks an engine how it is.
+    /// Asks an engine for a report of its health and load.
+    /// @param address  of the engine
     Awaitable<EngineReport> check(std::string address) { return onCheck(std::move(address)); }
 
-    /// Asks a plain server which start of it answers.
-    /// @param path  of its service's health check
-    /// @return what answered at the address; its id is that of another start where one has taken the server's place
+    /// Asks a plain server to identify itself, to find out whether it was restarted.
+    /// @param address  of the server
+    /// @param path     of its service's health check
+    /// @return the identity of the server that answers at the address; the id is a new one after a restart
     Awaitable<ServerIdentity> identify(std::string address, std::string path)
     {
         return onIdentify(std::move(address), std::move(path));
     }
 
-    /// Asks the first stage of a running stream at which stage it stands still.
-    /// @return that stage's address, the asked engine's own where it does not answer, or nothing where it knows of none
+    /// Asks the first stage of a running stream which stage has stalled.
+    /// @param address  of the first stage
+    /// @param call     the caller's id of the call
+    /// @return address of the stalled stage: the first stage's own if it does not answer, empty if it names none
     Awaitable<std::string> stalledStage(std::string address, std::string call)
     {
         return onStalledStage(std::move(address), std::move(call));
--- a/src/edge/EngineReport.h
+++ b/src/edge/EngineReport.h
@@ -8,21 +8,21 @@
 
 namespace crocusmount {
 
-/// How an engine answered a check.
+/// How a backend server answered a check.
 enum class CheckAnswer {
     Alive,
-    Silent, ///< nothing came in time: it is dead, cut off, or overloaded
-    Refused, ///< its machine says that no process listens there
+    Silent, ///< no answer in time: the server is dead, unreachable or overloaded
+    Refused, ///< the connection was refused: no process listens at the address
 };
 
-/// What an engine says of itself.
+/// An engine's report of its health and load.
 struct EngineReport {
     CheckAnswer answer = CheckAnswer::Silent;
-    double slowness = 1; ///< its work takes this many times as long as its card's figures say
-    StartTime startedAt;
-    std::uint32_t queued = 0; ///< requests that wait there for a place
-    double memoryUsed = 1; ///< part of its memory for requests that is taken
-    LayerRange layers; ///< held and ready to run; empty if none
+    double slowness = 1; ///< duration of its work, as a multiple of the duration expected of its accelerator
+    StartTime startedAt; ///< identifies the start of the engine that answered; zero if the report does not say
+    std::uint32_t queued = 0; ///< requests that wait in the engine for a slot
+    double memoryUsed = 1; ///< fraction of the memory for requests that is in use
+    LayerRange layers; ///< layers that are loaded and ready to run; empty if none
 };
 
 } // namespace crocusmount
--- a/src/edge/OrderReply.h
+++ b/src/edge/OrderReply.h
@@ -8,18 +8,18 @@
 
 /// How an engine answered an order.
 enum class OrderAnswer {
-    Begun,
-    Holds, ///< the state is already as ordered
-    Refused, ///< it does not fit the engine's state
-    Unknown, ///< no answer: it may still be carried out, also later
+    Begun, ///< the engine has begun to carry out the order
+    Holds, ///< the engine is already in the ordered state
+    Refused, ///< the order does not fit the engine's state
+    Unknown, ///< no answer: the engine may still carry out the order, even later
 };
 
-/// An engine's answer to an order, with what it says of itself.
+/// An engine's answer to an order.
 struct OrderReply {
     OrderAnswer answer = OrderAnswer::Unknown;
-    unsigned status = 0; ///< as answered; 0: no answer
-    std::string culprit; ///< address of the engine that the order cannot be carried out at; empty if none is named
-    StartTime startedAt; ///< of the engine that answered
+    unsigned status = 0; ///< HTTP status of the answer; 0: no answer
+    std::string culprit; ///< address of the engine that prevents the order; empty if the answer names none
+    StartTime startedAt; ///< identifies the start of the engine that answered; zero if the answer does not say
 
     bool isAccepted() const { return answer == OrderAnswer::Begun || answer == OrderAnswer::Holds; }
 };
--- a/src/edge/PlacementDriver.h
+++ b/src/edge/PlacementDriver.h
@@ -15,30 +15,36 @@
     class RelayNode;
 }
 
-/// While this instance is the planner, orders engines to hold what LayerPlanner says.
+/// Orders engines to hold the layers that LayerPlanner assigns to them, while this instance holds the planner's lock.
 class PlacementDriver {
 public:
+    /// All parameters must outlive this.
     PlacementDriver(net::io_context&, relay::RelayNode&, const PlannerLock&, EngineControl&);
 
+    /// Starts to plan at regular intervals, in the background.
     void start();
 
 private:
-    struct Outstanding {
-        StartTime engineStart; ///< of the engine that took the order; a later start knows nothing of it
+    /// An order whose result the engine has not reported yet.
+    struct OutstandingOrder {
+        StartTime engineStart; ///< start of the engine that got the order; a restart loses the order
         LayerRange layers;
-        std::chrono::steady_clock::time_point until; ///< by then it should be reported
+        /// When the order is forgotten. The engine should have reported the layers by then.
+        std::chrono::steady_clock::time_point expiresAt;
     };
 
     Awaitable<void> planLoop();
+    /// Plans the layers of one service's engines and sends the orders.
     void planService(const relay::Service&);
-    Awaitable<void> give(LayerPlanner::Order, relay::FleetServer engine, std::chrono::milliseconds expected);
+    /// @param expected  time until the engine should report the ordered layers
+    Awaitable<void> sendOrder(LayerPlanner::Order, relay::FleetServer engine, std::chrono::milliseconds expected);
 
     net::io_context& m_context;
     relay::RelayNode& m_node;
     const PlannerLock& m_lock;
-    EngineControl& m_control;
-    std::map<BackendId, Outstanding> m_outstanding;
-    std::map<relay::ServiceId, PlanTiming> m_timings;
+    EngineControl& m_engineControl;
+    std::map<BackendId, OutstandingOrder> m_outstandingOrders; ///< by engine
+    std::map<relay::ServiceId, PlanTiming> m_planTimings;
 };
 
 } // namespace crocusmount
