--- a/src/edge/CallReader.h
+++ b/src/edge/CallReader.h
@@ -7,12 +7,14 @@
 
 namespace crocusmount::relay {
 
-/// Reads what the relay needs from a call's head. Implemented by the platform's adapter.
+/// Reads the parts of a call's head that the relay needs. Implemented by the platform's adapter.
 class CallReader {
 public:
     virtual ~CallReader() = default;
 
-    /// @return the call, or InvalidArgument that says what is malformed
+    /// @param fields  the request's headers
+    /// @param target  the request's target, with its query
+    /// @return the call without its content digest, or InvalidArgument whose message tells the caller what is malformed
     absl::StatusOr<CallSpec> read(const http::fields& fields, std::string_view target) const
     {
         return onRead(fields, target);
--- a/src/edge/ChainText.h
+++ b/src/edge/ChainText.h
@@ -7,7 +7,7 @@
 
 namespace crocusmount {
 
-/// @return the chain as engines read it: "ip:port=begin-end,..."
+/// @return the chain in the format that engines parse, with one part for each hop: "ip:port=begin-end,..."
 inline std::string wireText(const Chain& chain)
 {
     std::string text;
--- a/src/edge/DecisionLog.h
+++ b/src/edge/DecisionLog.h
@@ -7,23 +7,30 @@
 
 namespace crocusmount::relay {
 
-/// Structured log: one JSON object a line on standard output, for each decision that touches a call or changes a
-/// belief. Lines are written by a thread of their own; where it falls behind, or more come than the limit allows,
-/// lines are dropped and counted, and the caller never waits.
+/// Structured log of decisions about calls and of changes of state: one JSON object per line on standard output. A
+/// separate thread writes the lines. Lines that arrive faster than the thread writes them, or faster than the limit
+/// allows, are dropped and counted, so that logging never blocks.
 class DecisionLog {
 public:
-    /// @param instance       named in every line
-    /// @param linesPerSecond most lines of one second that tell of single calls; other lines are not limited
+    /// Starts the writing thread. Lines logged before are discarded.
+    /// @param instance        id of this instance, written in every line
+    /// @param linesPerSecond  limit of the lines about single calls; other lines are not limited
     static void setUp(std::string instance, std::uint32_t linesPerSecond);
-    /// Writes what is left and ends the thread.
+    /// Writes the queued lines and ends the thread.
     static void shutDown();
 
-    /// A change of state or belief: start, stop, configuration, servers, dependencies. Always written.
-    static void state(std::string_view what, const boost::json::object& inputs = {});
-    /// A decision on one call. @param call  the caller's id of it
-    static void call(std::string_view what, std::string_view call, const boost::json::object& inputs = {});
+    /// Logs a change of this instance's state or of its view of the others: start, stop, configuration, servers,
+    /// dependencies. The limit does not apply.
+    /// @param what    kind of the change
+    /// @param fields  further fields of the line
+    static void state(std::string_view what, const boost::json::object& fields = {});
+    /// Logs a decision about one call.
+    /// @param what    kind of the decision
+    /// @param call    the caller's id of the call
+    /// @param fields  further fields of the line
+    static void call(std::string_view what, std::string_view call, const boost::json::object& fields = {});
 
-    /// @return lines left out because of the limit or a full queue
+    /// @return the number of lines dropped because of the limit or a full queue
     static std::uint64_t dropped();
 };
 
--- a/src/edge/EventSplitter.cpp
+++ b/src/edge/EventSplitter.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    /// @return the place after the blank line that ends the first event, or npos
+    /// @return the offset of the first byte after the blank line that ends the first event, or npos
     std::size_t endOfEvent(std::string_view text)
     {
         for (auto line = text.find('\n'); line != std::string_view::npos; line = text.find('\n', line + 1)) {
@@ -21,7 +21,8 @@
         return std::string_view::npos;
     }
 
-    std::optional<std::uint64_t> idOf(std::string_view event)
+    /// @return the first numeric id in the event's lines, if any
+    std::optional<std::uint64_t> eventId(std::string_view event)
     {
         while (!event.empty()) {
             const auto end = std::min(event.find('\n'), event.size());
@@ -38,22 +39,22 @@
 
 void EventSplitter::feed(std::string_view bytes)
 {
-    m_buffer.erase(0, m_taken);
-    m_taken = 0;
+    m_buffer.erase(0, m_consumed);
+    m_consumed = 0;
     m_buffer.append(bytes);
 }
 
 std::optional<EventSplitter::Event> EventSplitter::next()
 {
-    const std::string_view left = rest();
-    const auto end = endOfEvent(left);
+    const std::string_view unread = rest();
+    const auto end = endOfEvent(unread);
     if (end == std::string_view::npos)
         return std::nullopt;
-    m_taken += end;
-    const std::string_view bytes = left.substr(0, end);
-    return Event { bytes, idOf(bytes) };
+    m_consumed += end;
+    const std::string_view bytes = unread.substr(0, end);
+    return Event { bytes, eventId(bytes) };
 }
 
-std::string_view EventSplitter::rest() const { return std::string_view(m_buffer).substr(m_taken); }
+std::string_view EventSplitter::rest() const { return std::string_view(m_buffer).substr(m_consumed); }
 
 } // namespace crocusmount::relay
--- a/src/edge/EventSplitter.h
+++ b/src/edge/EventSplitter.h
@@ -7,23 +7,24 @@
 
 namespace crocusmount::relay {
 
-/// Cuts a server-sent event stream into whole events without changing a byte of them.
+/// Splits a stream of server-sent events into whole events, without changing their bytes.
 class EventSplitter {
 public:
     struct Event {
-        std::string_view bytes; ///< with the blank line that ends it; valid until the next call
-        std::optional<std::uint64_t> id;
+        std::string_view bytes; ///< with the blank line that ends the event; valid until the next feed()
+        std::optional<std::uint64_t> id; ///< empty: the event has no numeric id
     };
 
+    /// Appends bytes of the stream.
     void feed(std::string_view bytes);
-    /// @return the next whole event, or nothing until more bytes come
+    /// @return the next whole event, or nothing if more bytes are needed
     std::optional<Event> next();
-    /// @return what has come of an event that is not whole
+    /// @return the bytes that next() has not returned; valid until the next feed()
     std::string_view rest() const;
 
 private:
     std::string m_buffer;
-    std::size_t m_taken = 0;
+    std::size_t m_consumed = 0; ///< bytes at the start of m_buffer that next() has returned
 };
 
 } // namespace crocusmount::relay
--- a/src/edge/HeaderNames.h
+++ b/src/edge/HeaderNames.h
@@ -5,18 +5,18 @@
 
 namespace crocusmount::relay {
 
-/// The names of the headers that callers, instances and backend servers agree on. The platform's adapter fills them in.
+/// Names of the HTTP headers with a meaning for callers, instances and backend servers. Set by the platform's adapter.
 struct HeaderNames {
-    std::string callId; ///< the caller's id of a call, echoed by the server that answers
-    std::string deadlineMs; ///< how long the sender waits
-    std::string workspace; ///< who calls; only an instance may set it
-    std::string expectedServer; ///< id of the one server that may take the call
+    std::string callId; ///< the caller's id of the call; the server that answers sends it back
+    std::string deadlineMs; ///< how long the sender waits for the answer, in milliseconds
+    std::string workspace; ///< the caller's workspace; only an instance may set it
+    std::string expectedServer; ///< id of the only server that may run the call
     std::string notRun; ///< on an answer: the server did not run the call
-    std::string seal; ///< on an answer: the server's signature
-    std::string chain; ///< the stages, with their layers
-    std::string resumeAfter; ///< id of the last event that the caller has
-    std::string culprit; ///< on an answer: the stage that failed
-    std::vector<std::string> fromInstancesOnly; ///< dropped where a caller sends them
+    std::string seal; ///< on an answer: the server's signature; an answer without it is not delivered
+    std::string chain; ///< the chain of stages with their layer ranges, see wireText()
+    std::string resumeAfter; ///< id of the last event that the caller has received
+    std::string culprit; ///< on an answer: address of the stage that failed
+    std::vector<std::string> fromInstancesOnly; ///< headers that are removed from callers' requests
 };
 
 } // namespace crocusmount::relay
--- a/src/edge/OperatorEndpoints.cpp
+++ b/src/edge/OperatorEndpoints.cpp
@@ -15,7 +15,7 @@
 
 OperatorEndpoints::OperatorEndpoints(QuarantineStore& quarantine, HttpHandler& others)
     : m_quarantine(quarantine)
-    , m_others(others)
+    , m_otherPaths(others)
 {
 }
 
@@ -24,21 +24,22 @@
     const std::string path = exchange.path();
     const http::verb verb = exchange.request().method();
     if (path == QuarantinePath && verb == http::verb::get) {
-        HttpReply reply = list(); // A named value: g++ 12 destroys temporaries of a co_await expression twice.
+        // A named variable is needed, because g++ 12 destroys temporaries of a co_await expression twice.
+        HttpReply reply = listQuarantined();
         co_await exchange.respond(std::move(reply));
         co_return;
     }
-    const std::string begin = std::string(QuarantinePath) + "/";
-    if (path.substr(0, begin.size()) == begin && verb == http::verb::delete_) {
-        std::string id = path.substr(begin.size());
-        HttpReply reply = co_await lift(std::move(id));
+    const std::string entryPrefix = std::string(QuarantinePath) + "/";
+    if (path.substr(0, entryPrefix.size()) == entryPrefix && verb == http::verb::delete_) {
+        std::string id = path.substr(entryPrefix.size());
+        HttpReply reply = co_await liftQuarantine(std::move(id));
         co_await exchange.respond(std::move(reply));
         co_return;
     }
-    co_await m_others.handle(exchange);
+    co_await m_otherPaths.handle(exchange);
 }
 
-HttpReply OperatorEndpoints::list() const
+HttpReply OperatorEndpoints::listQuarantined() const
 {
     boost::json::array entries;
     for (const auto& [id, entry] : m_quarantine.entries()) {
@@ -50,10 +51,10 @@
     return reply;
 }
 
-Awaitable<HttpReply> OperatorEndpoints::lift(std::string id)
+Awaitable<HttpReply> OperatorEndpoints::liftQuarantine(std::string id)
 {
-    std::string named = id;
-    const absl::Status status = co_await m_quarantine.lift(std::move(named));
+    std::string idToLift = id;
+    const absl::Status status = co_await m_quarantine.lift(std::move(idToLift));
     relay::DecisionLog::state("quarantine_lift", { { "id", id }, { "outcome", status.ToString() } });
     HttpReply reply;
     if (absl::IsNotFound(status))
--- a/src/edge/OperatorEndpoints.h
+++ b/src/edge/OperatorEndpoints.h
@@ -6,22 +6,24 @@
 
 class QuarantineStore;
 
-/// What operators ask an instance, on the address of its metrics: which requests are quarantined, and to lift one.
+/// HTTP endpoints for operators, on the address of the instance's metrics. They list the quarantined requests and lift
+/// a quarantine.
 ///
 ///     GET /quarantine        {"quarantined":[{"id","workspace","since_ms","servers"}]}
-///     DELETE /quarantine/ID  200; 404 where it is not listed, 503 where the store did not confirm it
+///     DELETE /quarantine/ID  200; 404 if ID is not listed, 503 if the store did not confirm the deletion
 class OperatorEndpoints final : public HttpHandler {
 public:
-    /// @param others  answers all other paths; must outlive this, as the store must
-    OperatorEndpoints(QuarantineStore&, HttpHandler& others);
+    /// @param quarantine  must outlive this
+    /// @param others      answers all other paths; must outlive this
+    OperatorEndpoints(QuarantineStore& quarantine, HttpHandler& others);
 
 private:
     Awaitable<void> onExchange(HttpExchange&) override;
-    HttpReply list() const;
-    Awaitable<HttpReply> lift(std::string id);
+    HttpReply listQuarantined() const;
+    Awaitable<HttpReply> liftQuarantine(std::string id);
 
     QuarantineStore& m_quarantine;
-    HttpHandler& m_others;
+    HttpHandler& m_otherPaths;
 };
 
 } // namespace crocusmount
--- a/src/edge/RelayMetrics.h
+++ b/src/edge/RelayMetrics.h
@@ -11,37 +11,37 @@
 
 namespace crocusmount::relay {
 
-/// Figures beside the reducer's counters.
+/// Metrics that are not among the reducer's counters, as of the time of their export.
 struct RelayGauges {
-    std::size_t openCalls = 0;
-    std::size_t waitingCalls = 0;
-    std::size_t connections = 0;
-    std::size_t servers = 0;
-    std::uint32_t instances = 0;
-    std::uint64_t configurationVersion = 0;
-    std::int64_t storeAgeMs = 0;
+    std::size_t openCalls = 0; ///< calls without a final answer
+    std::size_t waitingCalls = 0; ///< open calls that wait for capacity
+    std::size_t connections = 0; ///< callers' connections
+    std::size_t servers = 0; ///< registered backend servers
+    std::uint32_t instances = 0; ///< live instances, this one included
+    std::uint64_t configurationVersion = 0; ///< of the configuration in force; 0: none
+    std::int64_t storeAgeMs = 0; ///< time since the store last answered
     StoreCalls storeCalls {};
     std::uint64_t logLinesDropped = 0;
-    std::uint64_t peerBytesSent = 0; ///< in datagrams to other instances, without their headers
+    std::uint64_t peerBytesSent = 0; ///< payload of the datagrams to other instances
     std::uint64_t peerDatagramsReceived = 0;
     std::uint64_t peerDatagramsMalformed = 0;
-    std::uint64_t copiesTaken = 0; ///< whole copies of the store, from other instances
-    std::uint64_t copiesGiven = 0; ///< likewise, to other instances
-    std::uint64_t copiesFailed = 0; ///< questions for one without a usable answer
-    std::uint64_t unreadableValues = 0; ///< of the store
-    std::size_t quarantined = 0; ///< requests that are sent to no server
-    bool fedByPeer = false; ///< another instance passes the store's changes on
+    std::uint64_t copiesTaken = 0; ///< full copies of the store, received from other instances
+    std::uint64_t copiesGiven = 0; ///< full copies of the store, sent to other instances
+    std::uint64_t copiesFailed = 0; ///< requests for a full copy without a usable answer
+    std::uint64_t unreadableValues = 0; ///< values in the store that could not be parsed
+    std::size_t quarantined = 0; ///< requests that are not sent to any server
+    bool fedByPeer = false; ///< another instance forwards the changes of the store to this one
 };
 
-/// Spans of time that callers saw on this instance.
+/// Latencies that callers observed on this instance.
 struct RelayLatencies {
-    LatencyHistogram firstEvent; ///< of streams, from arrival
-    LatencyHistogram longestGap; ///< of each stream
-    LatencyHistogram completed; ///< from arrival to the end of a success
-    LatencyHistogram refused; ///< from arrival to a final answer of this instance's own
+    LatencyHistogram firstEvent; ///< streams: from a call's arrival to the first event
+    LatencyHistogram longestGap; ///< streams: longest time between two consecutive events
+    LatencyHistogram completed; ///< from a call's arrival to the end of a successful answer
+    LatencyHistogram refused; ///< from a call's arrival to any other end
 };
 
-/// @return all figures in the Prometheus text format
+/// @return all metrics in the Prometheus text format
 std::string renderMetrics(const RelayCounters&, const RelayGauges&, const RelayLatencies&);
 
 } // namespace crocusmount::relay
--- a/src/edge/RequestDigest.h
+++ b/src/edge/RequestDigest.h
@@ -7,9 +7,9 @@
 
 namespace crocusmount::relay {
 
-/// @param host  as it selects the route
-/// @return the digest of method, host, target and body, the same in every process. Headers are left out: callers give
-///         each repeat an id of its own, and another time to wait.
+/// Computes the digest of a request's method, host, target and body, which is equal in every process. Headers are left
+/// out, because callers give each repeat of a request a new id and another deadline.
+/// @param host  host name that selects the route, without a port
 ContentDigest digestOf(const CallerRequest&, const std::string& host);
 
 } // namespace crocusmount::relay
