--- a/src/edge/FrontServer.cpp
+++ b/src/edge/FrontServer.cpp
@@ -33,7 +33,7 @@
             return 401;
         case Reason::CrashesServers:
             // A caller does not repeat a request after status 400. That status would deny that the request ran, so a
-            // request that may have run gets another one.
+            // request that may have run is answered with status 502.
             if (refusal.run == RunState::NotRun)
                 return 400;
             break;
@@ -169,7 +169,7 @@
         co_return true;
     }
 
-    /// Reads the head and the body, and asks the caller for the body where the caller waits for that.
+    /// Reads the head and the body. Sends "100 Continue" between them to a caller that expects it.
     Awaitable<boost::system::error_code> readRequest(Parser& parser, const CallLimits& limits)
     {
         m_stream.expires_after(toMilliseconds(limits.headerTimeout));
@@ -202,7 +202,7 @@
         co_await writeInstanceAnswer(answer, noCallId);
     }
 
-    /// Has a request answered.
+    /// Passes a request to the RelayNode and writes the answer.
     /// @return whether the whole answer was written
     Awaitable<bool> answerCall(std::shared_ptr<CallerRequest> request, bool keepAlive)
     {
@@ -374,7 +374,8 @@
         if (error == net::error::operation_aborted || !shared->acceptor.is_open())
             co_return;
         if (error) {
-            // For example for lack of file descriptors. Open connections are still served, so try again after a delay.
+            // accept() failed, for example for lack of file descriptors. Open connections are still served, so try
+            // again after a delay.
             retryTimer.expires_after(AcceptRetryDelay);
             co_await retryTimer.async_wait(asTuple);
             continue;
--- a/src/edge/FrontServer.h
+++ b/src/edge/FrontServer.h
@@ -29,7 +29,7 @@
     void closeIdle();
     /// Accepts no further connections. Open connections are still served.
     void stopAccepting();
-    /// @return the number of open connections, plus one while the server accepts: it counts the next connection early
+    /// @return the number of open connections; while the server accepts, includes the connection to be accepted next
     std::size_t connections() const;
     /// @return the number of calls that were read and whose answers are not yet written
     std::size_t busy() const;
--- a/src/edge/HeaderNames.h
+++ b/src/edge/HeaderNames.h
@@ -5,7 +5,8 @@
 
 namespace crocusmount::relay {
 
-/// Names of the HTTP headers with a meaning for callers, instances and backend servers. Set by the platform's adapter.
+/// Names of the HTTP headers with a meaning for callers, instances and backend servers, set by the platform's adapter.
+/// The comments say what each header contains.
 struct HeaderNames {
     std::string callId; ///< the caller's id of the call; the server that answers sends it back
     std::string deadlineMs; ///< how long the sender waits for the answer, in milliseconds
--- a/src/edge/OperatorEndpoints.cpp
+++ b/src/edge/OperatorEndpoints.cpp
@@ -13,9 +13,9 @@
 
 } // namespace
 
-OperatorEndpoints::OperatorEndpoints(QuarantineStore& quarantine, HttpHandler& others)
+OperatorEndpoints::OperatorEndpoints(QuarantineStore& quarantine, HttpHandler& fallback)
     : m_quarantine(quarantine)
-    , m_otherPaths(others)
+    , m_fallback(fallback)
 {
 }
 
@@ -36,7 +36,7 @@
         co_await exchange.respond(std::move(reply));
         co_return;
     }
-    co_await m_otherPaths.handle(exchange);
+    co_await m_fallback.handle(exchange);
 }
 
 HttpReply OperatorEndpoints::listQuarantined() const
--- a/src/edge/OperatorEndpoints.h
+++ b/src/edge/OperatorEndpoints.h
@@ -14,8 +14,8 @@
 class OperatorEndpoints final : public HttpHandler {
 public:
     /// @param quarantine  must outlive this
-    /// @param others      answers all other paths; must outlive this
-    OperatorEndpoints(QuarantineStore& quarantine, HttpHandler& others);
+    /// @param fallback    answers all other paths; must outlive this
+    OperatorEndpoints(QuarantineStore& quarantine, HttpHandler& fallback);
 
 private:
     Awaitable<void> onExchange(HttpExchange&) override;
@@ -23,7 +23,7 @@
     Awaitable<HttpReply> liftQuarantine(std::string id);
 
     QuarantineStore& m_quarantine;
-    HttpHandler& m_otherPaths;
+    HttpHandler& m_fallback;
 };
 
 } // namespace crocusmount
--- a/src/edge/OrderReply.h
+++ b/src/edge/OrderReply.h
@@ -19,7 +19,7 @@
     OrderAnswer answer = OrderAnswer::Unknown;
     unsigned status = 0; ///< HTTP status of the answer; 0: no answer
     std::string culprit; ///< address of the engine that prevents the order; empty if the answer names none
-    StartTime startedAt; ///< identifies the start of the engine that answered; zero if the answer does not say
+    StartTime startedAt; ///< start time of the engine process that answered; zero if the answer does not say
 
     bool isAccepted() const { return answer == OrderAnswer::Begun || answer == OrderAnswer::Holds; }
 };
--- a/src/edge/PlacementDriver.h
+++ b/src/edge/PlacementDriver.h
@@ -27,7 +27,7 @@
 private:
     /// An order whose result the engine has not reported yet.
     struct OutstandingOrder {
-        StartTime engineStart; ///< start of the engine that got the order; a restart loses the order
+        StartTime engineStart; ///< start time of the engine process that got the order; a restart loses the order
         LayerRange layers;
         /// When the order is forgotten. The engine should have reported the layers by then.
         std::chrono::steady_clock::time_point expiresAt;
@@ -44,7 +44,7 @@
     const PlannerLock& m_lock;
     EngineControl& m_engineControl;
     std::map<BackendId, OutstandingOrder> m_outstandingOrders; ///< by engine
-    std::map<relay::ServiceId, PlanTiming> m_planTimings;
+    std::map<relay::ServiceId, PlanTiming> m_planTimings; ///< by service
 };
 
 } // namespace crocusmount
--- a/src/edge/PlannerLock.h
+++ b/src/edge/PlannerLock.h
@@ -53,7 +53,7 @@
     const InstanceRegistry& m_registry;
     std::string m_holderId; ///< id of the instance that holds the lock; empty: none
     std::int64_t m_revision = 0; ///< store revision of the lock's last write; 0: the lock is not set
-    Time m_freeSince; ///< when the lock was last deleted, or a short time after the start
+    Time m_freeSince; ///< when the turns of the instances begin: at the lock's deletion, or shortly after the start
     Time m_holderLastValid; ///< when the lock was last seen not set, or held by a listed instance
     Lease m_lease; ///< id 0: none
     Time m_leaseExpiresAt; ///< earliest time at which the lease may expire, by this instance's clock
--- a/src/edge/RelayNode.cpp
+++ b/src/edge/RelayNode.cpp
@@ -83,6 +83,7 @@
         return "belief";
     }
 
+    /// @return an engine's key as 16 hexadecimal digits
     std::string hexKey(std::uint64_t key) { return absl::StrCat(absl::Hex(key, absl::kZeroPad16)); }
 
     std::int64_t toMs(Duration duration)
--- a/src/edge/RelayNode.h
+++ b/src/edge/RelayNode.h
@@ -103,6 +103,7 @@
     /// Sends a reroute order and posts RerouteAnswered and EngineStartSeen.
     Awaitable<void> sendReroute(effect::RerouteAttempt, std::string callId);
     void apply(const RelayEffects&);
+    /// Each overload of on() carries out one kind of effect.
     void on(const effect::StartAttempt&);
     void on(const effect::CancelAttempt&);
     void on(const effect::HoldAnswer&);
--- a/src/edge/UpstreamAttempt.cpp
+++ b/src/edge/UpstreamAttempt.cpp
@@ -100,7 +100,7 @@
 {
     CallerRequest forwarded(request.method(), request.target(), 11);
     const HopByHop hopByHop(request[http::field::connection]);
-    const auto isOverridden = [&](std::string_view name) {
+    const auto isDropped = [&](std::string_view name) {
         const auto isSame = [&](const std::string& other) {
             return absl::EqualsIgnoreCase(absl::string_view(name.data(), name.size()), other);
         };
@@ -109,7 +109,7 @@
     };
     for (const auto& field : request) {
         const std::string_view name = field.name_string();
-        if (!hopByHop.concerns(name) && !isOverridden(name))
+        if (!hopByHop.concerns(name) && !isDropped(name))
             forwarded.insert(field.name_string(), field.value());
     }
     const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(order.remaining).count();
--- a/tests/RelayLoopbackTest.cpp
+++ b/tests/RelayLoopbackTest.cpp
@@ -147,8 +147,8 @@
 
 TEST(RelayLoopback, ServerAnswersAreDeliveredCompletelyOrNotAtAll)
 {
-    const std::string whole = answerHead("200 OK") + "Content-Length: 4\r\n\r\nbody";
-    const std::string foreign = answerHead("200 OK", "other") + "Content-Length: 5\r\n\r\nwrong";
+    const std::string wholeAnswer = answerHead("200 OK") + "Content-Length: 4\r\n\r\nbody";
+    const std::string foreignAnswer = answerHead("200 OK", "other") + "Content-Length: 5\r\n\r\nwrong";
     const struct {
         const char* name;
         const char* path;
@@ -156,19 +156,19 @@
         const char* status;
         const char* contains;
     } cases[] = {
-        { "whole", "/book/1", { whole }, "200", "\r\n\r\nbody" },
+        { "whole", "/book/1", { wholeAnswer }, "200", "\r\n\r\nbody" },
         { "ends with its connection", "/book/1", { answerHead("200 OK") + "\r\nbody" }, "200", "\r\n\r\nbody" },
         { "truncated", "/book/1", { answerHead("200 OK") + "Content-Length: 9\r\n\r\nbody" }, "502", "may_have_run" },
-        { "another call's answer first", "/book/1", { foreign + whole }, "200", "\r\n\r\nbody" },
-        { "only another call's answer", "/book/1", { foreign }, "502", "may_have_run" },
-        { "more after the answer", "/book/1", { whole + "HTTP/1.1 200 OK\r\n" }, "200", "\r\n\r\nbody" },
+        { "another call's answer first", "/book/1", { foreignAnswer + wholeAnswer }, "200", "\r\n\r\nbody" },
+        { "only another call's answer", "/book/1", { foreignAnswer }, "502", "may_have_run" },
+        { "more after the answer", "/book/1", { wholeAnswer + "HTTP/1.1 200 OK\r\n" }, "200", "\r\n\r\nbody" },
         { "no seal", "/book/1", { "HTTP/1.1 200 OK\r\nX-Attempt-Id: me\r\nContent-Length: 1\r\n\r\nx" }, "502", "" },
         { "encoded", "/book/1", { answerHead("200 OK") + "Content-Encoding: gzip\r\nContent-Length: 1\r\n\r\nx" },
             "502", "" },
         { "not HTTP", "/book/1", { "hello\r\n\r\n" }, "502", "may_have_run" },
         { "its own failure", "/book/1", { answerHead("500 Oops") + "Content-Length: 3\r\n\r\nbad" }, "500", "bad" },
-        { "a failure, then a success", "/look/1", { answerHead("500 Oops") + "Content-Length: 3\r\n\r\nbad", whole },
-            "200", "body" },
+        { "a failure, then a success", "/look/1",
+            { answerHead("500 Oops") + "Content-Length: 3\r\n\r\nbad", wholeAnswer }, "200", "body" },
         { "not run", "/book/1", { "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n" }, "503",
             "Retry-After: " },
     };
@@ -216,7 +216,7 @@
 
 TEST(RelayLoopback, InvalidCallsAreRefusedAndReachNoServer)
 {
-    const std::string whole = answerHead("200 OK") + "Content-Length: 4\r\n\r\nbody";
+    const std::string wholeAnswer = answerHead("200 OK") + "Content-Length: 4\r\n\r\nbody";
     const std::string commonHeaders = "X-Attempt-Id: me\r\nAuthorization: Bearer key\r\nConnection: close\r\n";
     const struct {
         const char* name;
@@ -249,7 +249,7 @@
             "413" },
     };
     for (const auto& testCase : cases) {
-        const CallOutcome result = runCall(testCase.request, { whole });
+        const CallOutcome result = runCall(testCase.request, { wholeAnswer });
         CHECK_TRUE_TEXT(hasText(result.answer, std::string("HTTP/1.1 ") + testCase.status),
             (testCase.name + result.answer).c_str());
         CHECK_EQUAL_TEXT(0U, result.requests, testCase.name);
@@ -258,7 +258,7 @@
 
 TEST(RelayLoopback, QuarantinedRequestIsRefusedWithoutRetryAfterWhateverItsId)
 {
-    const std::string whole = answerHead("200 OK") + "Content-Length: 4\r\n\r\nbody";
+    const std::string wholeAnswer = answerHead("200 OK") + "Content-Length: 4\r\n\r\nbody";
     CallerRequest quarantinedRequest(http::verb::post, "/book/1", 11);
     quarantinedRequest.body() = "hi";
     const RequestIdentity quarantined { WorkspaceId("w"), digestOf(quarantinedRequest, "h.example") };
@@ -273,7 +273,7 @@
     } cases[] = { { "the same", requestTo("/book/1"), true }, { "under another id", withOtherId, true },
         { "another body", otherBody, false }, { "another path", requestTo("/book/2"), false } };
     for (const auto& testCase : cases) {
-        const CallOutcome result = runCall(testCase.request, { whole }, quarantined);
+        const CallOutcome result = runCall(testCase.request, { wholeAnswer }, quarantined);
         CHECK_EQUAL_TEXT(testCase.refused ? 0U : 1U, result.requests, testCase.name);
         CHECK_EQUAL_TEXT(testCase.refused, hasText(result.answer, "HTTP/1.1 400"), testCase.name);
         CHECK_EQUAL_TEXT(testCase.refused, hasText(result.answer, "crashes_servers"), testCase.name);
