--- a/src/relay/CrashEvidence.cpp
+++ b/src/relay/CrashEvidence.cpp
@@ -6,141 +6,143 @@
 
 namespace {
 
-    /// After this time from the end of one server all that ended with it have been found.
+    /// Delay before an end is classified. Servers that ended in the same group failure are detected by then.
     constexpr Duration SettleTime = std::chrono::milliseconds(300);
-    /// Servers that are found dead further apart than this did not end together.
+    /// Maximum time between the detected ends of two servers of one group failure.
     constexpr Duration GroupWindow = std::chrono::milliseconds(300);
     /// Maximum delay before an event relayed by a server that has since ended reaches this instance.
     constexpr Duration MaxEventDelay = std::chrono::milliseconds(40);
-    /// So many others that end in the same moment have a cause of their own. A single one may be another request's.
-    constexpr std::size_t GroupSize = 2;
-    /// The registry shows the end of a server that nobody could ask after three heartbeats.
-    constexpr Duration LostLifetime = std::chrono::seconds(6);
-    constexpr Duration EndLifetime = std::chrono::seconds(10);
-    /// Attempts that are remembered; a server that ends takes a few dozen along.
-    constexpr std::size_t MostLost = 2048;
+    /// Minimum number of other servers that must end together with a server for a group failure. A single other one may
+    /// have been crashed by another request.
+    constexpr std::size_t MinOthersInGroupFailure = 2;
+    /// Covers three missed heartbeats, after which the registry shows the end of a server that could not be checked.
+    constexpr Duration LostAttemptLifetime = std::chrono::seconds(6);
+    constexpr Duration ServerEndLifetime = std::chrono::seconds(10);
+    /// Limits memory. The end of one server loses a few dozen attempts.
+    constexpr std::size_t MaxLostAttempts = 2048;
 
 } // namespace
 
-bool CrashEvidence::End::concerns(const RequestIdentity& request) const
+bool CrashEvidence::ServerEnd::hasSuspect(const RequestIdentity& request) const
 {
     return std::any_of(
         suspects.begin(), suspects.end(), [&](const CrashSuspect& each) { return each.request == request; });
 }
 
-void CrashEvidence::End::add(const CrashSuspect& suspect)
+void CrashEvidence::ServerEnd::addSuspect(const CrashSuspect& suspect)
 {
-    const auto known = std::find_if(
+    const auto existing = std::find_if(
         suspects.begin(), suspects.end(), [&](const CrashSuspect& each) { return each.request == suspect.request; });
-    if (known == suspects.end())
+    if (existing == suspects.end())
         suspects.push_back(suspect);
     else
-        known->sign = std::max(known->sign, suspect.sign);
+        existing->sign = std::max(existing->sign, suspect.sign);
 }
 
 void CrashEvidence::noteLost(const CrashSuspect& suspect, std::vector<std::uint64_t> servers, TimePoint now)
 {
     std::erase_if(servers, [&](std::uint64_t server) {
         const auto end = m_ends.find(server);
-        const bool isCertain = end != m_ends.end() && end->second.certainAt;
-        if (isCertain && !end->second.settled)
-            end->second.add(suspect);
-        return isCertain;
+        const bool isConfirmed = end != m_ends.end() && end->second.confirmedAt;
+        if (isConfirmed && !end->second.isSettled)
+            end->second.addSuspect(suspect);
+        return isConfirmed;
     });
     if (servers.empty())
         return;
-    m_lost.push_back({ suspect, std::move(servers), now });
-    if (m_lost.size() > MostLost)
-        m_lost.pop_front();
+    m_lostAttempts.push_back({ suspect, std::move(servers), now });
+    if (m_lostAttempts.size() > MaxLostAttempts)
+        m_lostAttempts.pop_front();
 }
 
 void CrashEvidence::noteAlive(std::uint64_t server)
 {
-    for (Lost& lost : m_lost)
+    for (LostAttempt& lost : m_lostAttempts)
         std::erase(lost.servers, server);
-    std::erase_if(m_lost, [](const Lost& lost) { return lost.servers.empty(); });
-    if (const auto end = m_ends.find(server); end != m_ends.end() && !end->second.certainAt)
+    std::erase_if(m_lostAttempts, [](const LostAttempt& lost) { return lost.servers.empty(); });
+    if (const auto end = m_ends.find(server); end != m_ends.end() && !end->second.confirmedAt)
         m_ends.erase(end);
 }
 
-bool CrashEvidence::End::mayHaveEndedTogether(const End& other) const
+bool CrashEvidence::ServerEnd::mayHaveEndedTogether(const ServerEnd& other) const
 {
-    const Duration apart = std::max(other.foundAt - foundAt, foundAt - other.foundAt);
-    return apart <= GroupWindow
-        && std::max(lastAliveAt, other.lastAliveAt) <= std::min(foundAt, other.foundAt) + MaxEventDelay;
+    const Duration distance = std::max(other.detectedAt - detectedAt, detectedAt - other.detectedAt);
+    return distance <= GroupWindow
+        && std::max(lastAliveAt, other.lastAliveAt) <= std::min(detectedAt, other.detectedAt) + MaxEventDelay;
 }
 
 void CrashEvidence::noteSilent(std::uint64_t server, TimePoint now, TimePoint lastAliveAt)
 {
-    m_ends.try_emplace(server, End { now, lastAliveAt });
+    m_ends.try_emplace(server, ServerEnd { now, lastAliveAt });
 }
 
 bool CrashEvidence::noteEnded(
     std::uint64_t server, std::vector<CrashSuspect> running, TimePoint now, TimePoint lastAliveAt)
 {
-    End& end = m_ends.try_emplace(server, End { now, lastAliveAt }).first->second;
-    if (end.certainAt)
+    ServerEnd& end = m_ends.try_emplace(server, ServerEnd { now, lastAliveAt }).first->second;
+    if (end.confirmedAt)
         return false;
-    end.certainAt = now;
+    end.confirmedAt = now;
     end.suspects = std::move(running);
-    std::erase_if(m_lost, [&](const Lost& lost) {
-        const bool wasThere = std::find(lost.servers.begin(), lost.servers.end(), server) != lost.servers.end();
-        if (wasThere)
-            end.add(lost.suspect);
-        return wasThere;
+    std::erase_if(m_lostAttempts, [&](const LostAttempt& lost) {
+        const bool mayHaveRunThere = std::find(lost.servers.begin(), lost.servers.end(), server) != lost.servers.end();
+        if (mayHaveRunThere)
+            end.addSuspect(lost.suspect);
+        return mayHaveRunThere;
     });
     return true;
 }
 
-bool CrashEvidence::isOfGroup(const End& end, const RequestIdentity& request) const
+bool CrashEvidence::isGroupFailure(const ServerEnd& end, const RequestIdentity& request) const
 {
-    const auto others = std::count_if(m_ends.begin(), m_ends.end(), [&](const auto& each) {
-        const End& other = each.second;
-        return &other != &end && end.mayHaveEndedTogether(other) && !other.concerns(request);
+    const auto endedTogether = std::count_if(m_ends.begin(), m_ends.end(), [&](const auto& each) {
+        const ServerEnd& other = each.second;
+        return &other != &end && end.mayHaveEndedTogether(other) && !other.hasSuspect(request);
     });
-    return static_cast<std::size_t>(others) >= GroupSize;
+    return static_cast<std::size_t>(endedTogether) >= MinOthersInGroupFailure;
 }
 
 CrashEvidence::Findings CrashEvidence::settle(TimePoint now)
 {
     Findings findings;
     for (auto& [server, end] : m_ends) {
-        if (end.settled || !end.certainAt || now < *end.certainAt + SettleTime)
+        if (end.isSettled || !end.confirmedAt || now < *end.confirmedAt + SettleTime)
             continue;
-        end.settled = true;
+        end.isSettled = true;
         for (const CrashSuspect& suspect : end.suspects)
-            (isOfGroup(end, suspect.request) ? findings.dismissed : findings.crashes).push_back({ suspect, server });
+            (isGroupFailure(end, suspect.request) ? findings.dismissed : findings.crashes)
+                .push_back({ suspect, server });
     }
-    forgetOld(now);
+    removeExpired(now);
     return findings;
 }
 
 std::size_t CrashEvidence::openCases(const RequestIdentity& request) const
 {
-    const auto lost = std::count_if(
-        m_lost.begin(), m_lost.end(), [&](const Lost& each) { return each.suspect.request == request; });
-    const auto ends = std::count_if(m_ends.begin(), m_ends.end(), [&](const auto& each) {
-        const End& end = each.second;
-        return end.certainAt && !end.settled && end.concerns(request);
+    const auto lostCount = std::count_if(m_lostAttempts.begin(), m_lostAttempts.end(),
+        [&](const LostAttempt& each) { return each.suspect.request == request; });
+    const auto endCount = std::count_if(m_ends.begin(), m_ends.end(), [&](const auto& each) {
+        const ServerEnd& end = each.second;
+        return end.confirmedAt && !end.isSettled && end.hasSuspect(request);
     });
-    return static_cast<std::size_t>(lost + ends);
+    return static_cast<std::size_t>(lostCount + endCount);
 }
 
 std::map<std::uint64_t, TimePoint> CrashEvidence::unsettledServers() const
 {
     std::map<std::uint64_t, TimePoint> servers;
-    for (const Lost& lost : m_lost) {
+    for (const LostAttempt& lost : m_lostAttempts) {
         for (const std::uint64_t server : lost.servers)
-            servers[server] = lost.at;
+            servers[server] = lost.lostAt;
     }
     return servers;
 }
 
-void CrashEvidence::forgetOld(TimePoint now)
+void CrashEvidence::removeExpired(TimePoint now)
 {
-    while (!m_lost.empty() && now >= m_lost.front().at + LostLifetime)
-        m_lost.pop_front();
-    std::erase_if(m_ends, [&](const auto& each) { return now >= each.second.foundAt + EndLifetime; });
+    while (!m_lostAttempts.empty() && now >= m_lostAttempts.front().lostAt + LostAttemptLifetime)
+        m_lostAttempts.pop_front();
+    std::erase_if(m_ends, [&](const auto& each) { return now >= each.second.detectedAt + ServerEndLifetime; });
 }
 
 } // namespace crocusmount::relay
--- a/src/relay/CrashEvidence.h
+++ b/src/relay/CrashEvidence.h
@@ -10,70 +10,81 @@
 
 namespace crocusmount::relay {
 
-/// Tells under which requests servers ended, from what one instance sees: attempts that ended without a whole answer,
-/// and servers that were found dead.
+/// Decides which requests may have crashed a server, from what one instance observes: attempts that ended before their
+/// answer was complete, and servers that were found dead. A server is identified by the key of one of its starts, see
+/// engineKey.
 ///
-/// A server that crashes ends all that it runs. What sets the cause apart from the bystanders is that the server had
-/// only just begun to run it (CrashSign); what sets a crash apart from the loss of a rack or a switch is that no others
-/// ended in the same moment. A server ended at some time between when it was last known to be alive and when its end
-/// was detected; servers whose intervals do not overlap did not end together, even if detected within a short time.
+/// A server that crashes ends all requests that it runs. Two rules narrow down the cause:
+/// - A request is suspected only if the server had just begun to run it or may have been about to (see CrashSign).
+/// - If several other servers ended at about the same time, the cause is the loss of a rack or a switch.
+///
+/// A server ended at some time between when it was last known to be alive and when its end was detected. Servers whose
+/// intervals do not overlap did not end together, even if their ends were detected within a short time.
 class CrashEvidence {
 public:
-    /// Notes that an attempt ended unfinished, and that any of these servers may have ended under it.
-    /// @param servers  see engineKey
+    /// Records an attempt that ended before its answer was complete.
+    /// @param servers  servers on the attempt's chain that may have ended
     void noteLost(const CrashSuspect&, std::vector<std::uint64_t> servers, TimePoint now);
 
-    /// Notes that a server answered: what ended there before did not end with it.
+    /// Records that a server answered. Attempts that were lost there before were not lost to its end.
     void noteAlive(std::uint64_t server);
 
-    /// Notes that a server does not answer, which may be a cut.
-    /// @param lastAliveAt  when it was last known to be alive
+    /// Records that a server does not answer. The server may have ended or be cut off by the network.
+    /// @param lastAliveAt  when the server was last known to be alive
     void noteSilent(std::uint64_t server, TimePoint now, TimePoint lastAliveAt = {});
 
-    /// Notes that a server's process has ended.
-    /// @param running  those of running attempts there
-    /// @param lastAliveAt  when it was last known to be alive
-    /// @return whether that is news
+    /// Records that a server's process has ended.
+    /// @param running  requests with a running attempt at the server
+    /// @param lastAliveAt  when the server was last known to be alive
+    /// @return whether the end was not yet known
     bool noteEnded(std::uint64_t server, std::vector<CrashSuspect> running, TimePoint now, TimePoint lastAliveAt = {});
 
-    /// What is known of the ends that are old enough to be told from the loss of a group.
+    /// One entry for each suspected request and server.
     struct Findings {
         std::vector<CrashReport> crashes;
-        std::vector<CrashReport> dismissed; ///< other servers ended in the same moment
+        std::vector<CrashReport> dismissed; ///< the server ended together with others, in a group failure
     };
+    /// Classifies the ends that were confirmed long enough ago to tell a crash from a group failure.
+    /// @return the ends classified by this call; each end is returned once
     Findings settle(TimePoint now);
 
-    /// @return ends of servers, certain or not, of which it is not known yet whether they tell of a request
+    /// @return the number of possible or confirmed ends of servers that are not classified yet and for which this
+    ///         request is a suspect
     std::size_t openCases(const RequestIdentity&) const;
 
-    /// @return servers that may have ended under attempts, with the time of the last of these: each is to be asked
-    /// since
+    /// @return servers that may have ended during an attempt, each with the time when the last such attempt was lost;
+    ///         only an answer to a check sent after that time shows that the server is alive
     std::map<std::uint64_t, TimePoint> unsettledServers() const;
 
 private:
-    struct Lost {
+    /// An attempt that ended before its answer was complete, at a server whose end is not confirmed.
+    struct LostAttempt {
         CrashSuspect suspect;
-        std::vector<std::uint64_t> servers;
-        TimePoint at;
+        std::vector<std::uint64_t> servers; ///< servers that may have ended
+        TimePoint lostAt;
     };
-    struct End {
-        TimePoint foundAt;
-        TimePoint lastAliveAt; ///< when it was last known to be alive
-        std::optional<TimePoint> certainAt; ///< nothing: it only does not answer
-        bool settled = false;
-        std::vector<CrashSuspect> suspects;
+    /// The end of a server, confirmed or not.
+    struct ServerEnd {
+        TimePoint detectedAt;
+        TimePoint lastAliveAt;
+        std::optional<TimePoint> confirmedAt; ///< empty while the server merely does not answer
+        bool isSettled = false; ///< has been returned by settle()
+        std::vector<CrashSuspect> suspects; ///< at most one per request
 
-        bool concerns(const RequestIdentity&) const;
-        void add(const CrashSuspect&);
-        /// @return whether both ends were found close together and may have been at the same time
-        bool mayHaveEndedTogether(const End&) const;
+        bool hasSuspect(const RequestIdentity&) const;
+        /// Adds a suspect, or raises the sign of a known one.
+        void addSuspect(const CrashSuspect&);
+        /// @return whether both ends were detected within GroupWindow and their intervals overlap
+        bool mayHaveEndedTogether(const ServerEnd&) const;
     };
 
-    bool isOfGroup(const End&, const RequestIdentity&) const;
-    void forgetOld(TimePoint now);
+    /// @return whether at least MinOthersInGroupFailure servers ended together with this one that do not have the
+    ///         request among their suspects
+    bool isGroupFailure(const ServerEnd&, const RequestIdentity&) const;
+    void removeExpired(TimePoint now);
 
-    std::deque<Lost> m_lost; ///< oldest first
-    std::map<std::uint64_t, End> m_ends; ///< by server
+    std::deque<LostAttempt> m_lostAttempts; ///< oldest first
+    std::map<std::uint64_t, ServerEnd> m_ends; ///< by key of the server
 };
 
 } // namespace crocusmount::relay
--- a/src/relay/CrashReport.h
+++ b/src/relay/CrashReport.h
@@ -5,26 +5,26 @@
 
 namespace crocusmount::relay {
 
-/// A request that shows life at a server for so long has not crashed it by what it is.
+/// A request that has made progress at a server for this long is taken to be harmless to servers.
 constexpr Duration SoundRun = std::chrono::milliseconds(300);
 
-/// How much the end of a server tells of a request that was there.
+/// How strongly the end of a server points to a request that the server held, in ascending order.
 enum class CrashSign {
-    None, ///< it had run there for some time, or its bytes had not gone out
-    Waiting, ///< it was there, and nothing shows that the server had begun to run it
-    JustBegun, ///< the server had only just begun to run it
+    None, ///< the request had been running for some time, or had not been sent yet
+    Waiting, ///< the request had been sent, and nothing shows that the server had begun to run it
+    JustBegun, ///< the server had just begun to run the request
 };
 
-/// A request that was at a server as that ended.
+/// A request that a server held when the server ended.
 struct CrashSuspect {
     RequestIdentity request;
     CrashSign sign = CrashSign::None;
 };
 
-/// One start of a backend server ended while a request was waiting or beginning to run there.
+/// Says that a backend server ended while it held a request that may have crashed it.
 struct CrashReport {
     CrashSuspect suspect;
-    std::uint64_t server = 0; ///< see engineKey
+    std::uint64_t server = 0; ///< key of the start of the server that ended, see engineKey
 };
 
 } // namespace crocusmount::relay
--- a/src/relay/LoadExchange.cpp
+++ b/src/relay/LoadExchange.cpp
@@ -7,28 +7,29 @@
 
 namespace {
 
-    /// Collectors of each data centre: while one of them is gone and still listed, the other's sums are used.
+    /// Collectors of each data centre. While one of them is dead but still listed, the sums of the other are used.
     constexpr std::size_t CollectorCount = 2;
-    /// A sender that was silent this long no longer counts; some rounds may be lost on the way.
+    /// A report counts for this long. Covers several rounds, because some datagrams may be lost.
     constexpr Duration ReportLifetime = std::chrono::milliseconds(900);
 
-    /// A member that was silent this long is taken for dead, and callers are not sent there. Twice the lifetime of a
-    /// report, as a few lost datagrams must not cost an instance its callers.
-    constexpr Duration MemberSilence = 2 * ReportLifetime;
+    /// A member that has not reported for longer than this is assumed to be dead, and no callers are sent there. Twice
+    /// the lifetime of a report, so that a few lost datagrams do not cost an instance its callers.
+    constexpr Duration MaxMemberSilence = 2 * ReportLifetime;
 
-    /// Maximum encoded size of an engine's load.
+    /// Maximum encoded size of one EngineLoad.
     constexpr std::size_t MaxEngineLoadBytes = 18;
     /// Limits the overhead of report headers.
     constexpr std::size_t MinEnginesPerReport = 16;
 
-    /// @return the slice of an engine. The hash is seeded with the number of slices so that engines are distributed
-    ///         independently for each number: a sum may be only partly updated when the number changes.
+    /// The hash is seeded with the number of slices, so that engines are distributed independently for each number.
+    /// When the number changes, a sum may be only partly updated.
+    /// @return the index of the slice to which an engine belongs
     std::uint32_t sliceOf(std::uint64_t engine, std::uint32_t slices)
     {
         return static_cast<std::uint32_t>(XXH3_64bits_withSeed(&engine, sizeof(engine), slices) % slices);
     }
 
-    void add(EngineLoads& sums, const EngineLoads& loads)
+    void addLoads(EngineLoads& sums, const EngineLoads& loads)
     {
         for (const auto& [engine, load] : loads) {
             EngineLoad& sum = sums[engine];
@@ -39,7 +40,7 @@
         }
     }
 
-    std::vector<EngineLoad> listOf(const EngineLoads& sums)
+    std::vector<EngineLoad> toVector(const EngineLoads& sums)
     {
         std::vector<EngineLoad> loads;
         loads.reserve(sums.size());
@@ -93,9 +94,9 @@
     return std::any_of(collectors.begin(), collectors.end(), [&](const LoadPeer* each) { return *each == m_self; });
 }
 
-/// @param reportCount  number of reports that share the byte limit of a round
-/// @return a report of all engines, or of this round's slice if all would exceed the limit
-LoadReport LoadExchange::report(
+/// @param reportCount  the number of reports that share the byte limit of a round
+/// @return a report of all engines, or of this round's slice if all engines would exceed the limit
+LoadReport LoadExchange::makeReport(
     LoadScope scope, std::uint32_t instances, const std::vector<EngineLoad>& engines, std::size_t reportCount) const
 {
     LoadReport report { m_self.id, m_self.dataCentre, m_sequence, scope, instances, {}, {} };
@@ -113,20 +114,20 @@
     return report;
 }
 
-/// @return members of this data centre that are listed and have been silent for too long
-std::vector<std::uint64_t> LoadExchange::missedMembers(TimePoint now)
+/// @return keys of the instances of this data centre that are listed and have not reported for MaxMemberSilence
+std::vector<std::uint64_t> LoadExchange::silentMembers(TimePoint now)
 {
     const std::vector<LoadPeer>& listed = m_peers[m_self.dataCentre];
     std::erase_if(m_lastHeard, [&](const auto& heard) {
         return std::none_of(listed.begin(), listed.end(), [&](const LoadPeer& peer) { return peer.id == heard.first; });
     });
-    std::vector<std::uint64_t> missed;
+    std::vector<std::uint64_t> silent;
     for (const LoadPeer& peer : listed) {
-        const TimePoint heard = m_lastHeard.try_emplace(peer.id, now).first->second;
-        if (now - heard > MemberSilence)
-            missed.push_back(instanceKey(peer.id));
+        const TimePoint lastHeard = m_lastHeard.try_emplace(peer.id, now).first->second;
+        if (now - lastHeard > MaxMemberSilence)
+            silent.push_back(instanceKey(peer.id));
     }
-    return missed;
+    return silent;
 }
 
 std::uint32_t LoadExchange::peerCount() const
@@ -139,86 +140,88 @@
 
 std::vector<OutgoingLoadReport> LoadExchange::makeRound(std::vector<EngineLoad> own, TimePoint now)
 {
-    std::vector<OutgoingLoadReport> out;
+    std::vector<OutgoingLoadReport> outgoing;
     ++m_sequence;
     const std::size_t members = m_peers[m_self.dataCentre].size();
-    // A collector receives the reports of all members in each round.
-    const LoadReport ownReport = report(LoadScope::Instance, 1, own, members);
-    m_own = std::move(own);
+    // The limit is shared among all members, because a collector receives the reports of all of them in each round.
+    const LoadReport ownReport = makeReport(LoadScope::Instance, 1, own, members);
+    m_ownLoads = std::move(own);
     for (const LoadPeer* collector : collectorsOf(m_self.dataCentre)) {
         if (!(*collector == m_self))
-            out.push_back({ collector->address, ownReport });
+            outgoing.push_back({ collector->address, ownReport });
     }
     if (!isCollector()) {
         m_lastHeard.clear();
-        return out;
+        return outgoing;
     }
+    // A collector does not send itself slices: it takes in its whole load in each round.
     LoadReport fullReport = ownReport;
     fullReport.slice = 0;
     fullReport.slices = 1;
-    fullReport.engines = m_own;
+    fullReport.engines = m_ownLoads;
     take(fullReport, now);
-    const auto fresh = [&](const Received& received) { return now - received.at <= ReportLifetime; };
+    const auto isFresh = [&](const Source& source) { return now - source.lastReceivedAt <= ReportLifetime; };
     EngineLoads sums;
     std::uint32_t instances = 0;
     const auto addFresh = [&](const Sources& sources) {
-        for (const auto& [source, received] : sources) {
-            if (!fresh(received))
+        for (const auto& [id, source] : sources) {
+            if (!isFresh(source))
                 continue;
-            add(sums, received.engines);
-            instances += received.instances;
+            addLoads(sums, source.engines);
+            instances += source.instances;
         }
     };
     addFresh(m_members);
     const std::size_t receivers = members + (m_peers.size() - 1) * CollectorCount;
-    LoadReport localReport = report(LoadScope::DataCentre, instances, listOf(sums), receivers);
-    localReport.silentInstances = missedMembers(now);
+    LoadReport localReport = makeReport(LoadScope::DataCentre, instances, toVector(sums), receivers);
+    localReport.silentInstances = silentMembers(now);
     for (const auto& [dataCentre, peers] : m_peers) {
         if (dataCentre == m_self.dataCentre)
             continue;
         for (const LoadPeer* collector : collectorsOf(dataCentre))
-            out.push_back({ collector->address, localReport });
+            outgoing.push_back({ collector->address, localReport });
     }
-    addFresh(m_dataCentres);
-    std::vector<EngineLoad> fleetLoads = listOf(sums);
-    LoadReport fleetReport = report(LoadScope::Fleet, instances, fleetLoads, receivers);
+    addFresh(m_dataCentreSums);
+    std::vector<EngineLoad> fleetLoads = toVector(sums);
+    LoadReport fleetReport = makeReport(LoadScope::Fleet, instances, fleetLoads, receivers);
     fleetReport.silentInstances = localReport.silentInstances;
-    for (const auto& [dataCentre, received] : m_dataCentres) {
-        const auto& silent = received.silentInstances;
-        if (fresh(received))
+    for (const auto& [dataCentre, sum] : m_dataCentreSums) {
+        const auto& silent = sum.silentInstances;
+        if (isFresh(sum))
             fleetReport.silentInstances.insert(fleetReport.silentInstances.end(), silent.begin(), silent.end());
     }
     for (const LoadPeer& peer : m_peers[m_self.dataCentre]) {
         if (!(peer == m_self))
-            out.push_back({ peer.address, fleetReport });
+            outgoing.push_back({ peer.address, fleetReport });
     }
+    // This instance uses the whole sum, also where its members receive one slice.
     fleetReport.slice = 0;
     fleetReport.slices = 1;
     fleetReport.engines = std::move(fleetLoads);
     take(fleetReport, now);
-    return out;
+    return outgoing;
 }
 
-void LoadExchange::note(Sources& sources, const std::string& source, const LoadReport& report, TimePoint now)
+void LoadExchange::mergeReport(Sources& sources, const std::string& source, const LoadReport& report, TimePoint now)
 {
-    Received& received = sources[source];
-    received.sequence = report.sequence;
-    received.at = now;
-    received.instances = report.instances;
+    Source& state = sources[source];
+    state.lastSequence = report.sequence;
+    state.lastReceivedAt = now;
+    state.instances = report.instances;
     if (report.slices == 1) {
-        received.engines.clear();
+        state.engines.clear();
     } else {
         std::erase_if(
-            received.engines, [&](const auto& each) { return sliceOf(each.first, report.slices) == report.slice; });
+            state.engines, [&](const auto& each) { return sliceOf(each.first, report.slices) == report.slice; });
     }
     for (const EngineLoad& load : report.engines)
-        received.engines[load.engine] = load;
-    if (std::exchange(received.sliceCount, report.slices) != report.slices)
-        received.receivedSlices.clear();
-    received.receivedSlices.insert(report.slice);
-    received.isComplete = received.isComplete || received.receivedSlices.size() == report.slices;
-    received.silentInstances = report.silentInstances;
-    std::erase_if(sources, [&](const auto& each) { return now - each.second.at > ReportLifetime; });
+        state.engines[load.engine] = load;
+    if (std::exchange(state.sliceCount, report.slices) != report.slices)
+        state.receivedSlices.clear();
+    state.receivedSlices.insert(report.slice);
+    state.isComplete = state.isComplete || state.receivedSlices.size() == report.slices;
+    state.silentInstances = report.silentInstances;
+    std::erase_if(sources, [&](const auto& each) { return now - each.second.lastReceivedAt > ReportLifetime; });
 }
 
 void LoadExchange::take(const LoadReport& report, TimePoint now)
@@ -228,37 +231,39 @@
     case LoadScope::Fleet: {
         if (report.dataCentre != m_self.dataCentre)
             return;
-        Sources& sources = report.scope == LoadScope::Instance ? m_members : m_fleet;
+        Sources& sources = report.scope == LoadScope::Instance ? m_members : m_fleetSums;
         const auto known = sources.find(report.sender.value());
-        if (known == sources.end() || known->second.sequence < report.sequence)
-            note(sources, report.sender.value(), report, now);
+        if (known == sources.end() || known->second.lastSequence < report.sequence)
+            mergeReport(sources, report.sender.value(), report, now);
         if (report.scope == LoadScope::Instance)
             m_lastHeard[report.sender] = now;
         return;
     }
     case LoadScope::DataCentre:
-        // Both collectors of a data centre send nearly the same sum: the last one counts.
+        // Both collectors of a data centre send nearly equal sums. The last one received counts.
         if (report.dataCentre != m_self.dataCentre)
-            note(m_dataCentres, report.dataCentre.value(), report, now);
+            mergeReport(m_dataCentreSums, report.dataCentre.value(), report, now);
         return;
     }
 }
 
-/// @return the freshest sum over the most instances, or null
-const LoadExchange::Received* LoadExchange::bestSum(TimePoint now) const
+/// @return the fresh and complete sum that includes the most instances, the latest of several; null if there is none
+const LoadExchange::Source* LoadExchange::bestFleetSum(TimePoint now) const
 {
-    const Received* best = nullptr;
-    for (const auto& [collector, received] : m_fleet) {
-        const bool fresh = received.isComplete && now - received.at <= ReportLifetime;
-        if (fresh && (!best || std::pair(received.instances, received.at) > std::pair(best->instances, best->at)))
-            best = &received;
+    const Source* best = nullptr;
+    for (const auto& [collector, sum] : m_fleetSums) {
+        const bool isFresh = sum.isComplete && now - sum.lastReceivedAt <= ReportLifetime;
+        if (isFresh
+            && (!best
+                || std::pair(sum.instances, sum.lastReceivedAt) > std::pair(best->instances, best->lastReceivedAt)))
+            best = &sum;
     }
     return best;
 }
 
 std::set<std::uint64_t> LoadExchange::silentInstances(TimePoint now) const
 {
-    const Received* best = bestSum(now);
+    const Source* best = bestFleetSum(now);
     if (!best)
         return {};
     return { best->silentInstances.begin(), best->silentInstances.end() };
@@ -266,12 +271,12 @@
 
 std::optional<EngineLoads> LoadExchange::others(TimePoint now) const
 {
-    const Received* best = bestSum(now);
-    const std::uint32_t listed = peerCount();
-    if (!best || (best->instances < 2 && listed > 1))
+    const Source* best = bestFleetSum(now);
+    const std::uint32_t listedCount = peerCount();
+    if (!best || (best->instances < 2 && listedCount > 1))
         return std::nullopt;
     EngineLoads sums = best->engines;
-    for (const EngineLoad& own : m_own) {
+    for (const EngineLoad& own : m_ownLoads) {
         const auto found = sums.find(own.engine);
         if (found == sums.end())
             continue;
@@ -279,12 +284,12 @@
         found->second.calls = std::max(0.0, found->second.calls - own.calls);
         found->second.avoiders = std::max(0.0, found->second.avoiders - own.avoiders);
     }
-    if (listed <= best->instances)
+    if (listedCount <= best->instances)
         return sums;
-    const double unheard = static_cast<double>(listed - 1) / (best->instances - 1);
+    const double scale = static_cast<double>(listedCount - 1) / (best->instances - 1);
     for (auto& [engine, load] : sums) {
-        load.tokenLayers *= unheard;
-        load.calls *= unheard;
+        load.tokenLayers *= scale;
+        load.calls *= scale;
     }
     return sums;
 }
--- a/src/relay/LoadExchange.h
+++ b/src/relay/LoadExchange.h
@@ -16,86 +16,94 @@
 struct LoadPeer {
     InstanceId id;
     DataCentreId dataCentre;
-    std::string address; ///< for datagrams
+    std::string address; ///< the address to which reports are sent as datagrams
 
     bool operator==(const LoadPeer&) const = default;
 };
 
-/// A report on its way to another instance.
+/// A report to send to another instance.
 struct OutgoingLoadReport {
     std::string address;
     LoadReport report;
 };
 
-/// How instances learn what the others have running on the engines they share. In each data centre the two instances
-/// of lowest id collect the reports of all, tell each other's data centres the sums, and tell their own what all of
-/// them together hold. Any instance can collect; nothing is kept, so that one that goes costs a round at most.
+/// Tells each instance the load that the other instances put on the engines that they all share. Without the exchange,
+/// an instance could only multiply its own load by the number of instances. With many instances that run a few streams
+/// each, such an estimate makes engines look full or empty by chance, and streams crowd on some of them.
+///
+/// Each round has two stages. All instances of a data centre report to its collectors, the two instances of lowest id.
+/// The collectors send the sum of their data centre to the collectors of the other data centres, and the sum of all
+/// data centres to the instances of their own. Any instance can collect, and no state outlives the lifetime of a
+/// report, so losing a collector costs at most one round.
 ///
 /// The bytes sent per round grow with the product of instances and engines. Reports that would exceed the limit cover
 /// one slice of the engines each, and consecutive rounds rotate through the slices.
-///
-/// The load pattern that it answers: many instances with a few streams each. What one of them has running, times the
-/// number of instances, is no estimate of the whole: engines look full or empty by chance, and streams crowd on some.
 class LoadExchange {
 public:
     /// @param bytesPerRound  approximate limit on the bytes of reports that an instance sends or a collector receives
     ///                       from its data centre in a round; 0: no limit
     explicit LoadExchange(LoadPeer self, std::size_t bytesPerRound = 0);
 
-    /// @param others  all other live instances
+    /// @param others  all other listed instances
     void setPeers(std::vector<LoadPeer> others);
 
-    /// Makes the reports of one round.
-    /// @param own  what this instance has running
-    /// @return the reports to send
+    /// Starts a round and returns the reports to send in it.
+    /// @param own  the load that this instance puts on each engine
     std::vector<OutgoingLoadReport> makeRound(std::vector<EngineLoad> own, TimePoint now);
 
-    /// Takes in a report. Reports that are older than one taken before are passed over.
+    /// Handles a received report. Reports of one instance and sums of the fleet are ignored unless their sequence
+    /// number is higher than that of the sender's last report. The last received sum of a data centre always counts.
     void take(const LoadReport&, TimePoint now);
 
-    /// Instances that are listed but not heard, as those cut off from the collectors, are taken to hold as much as the
-    /// others.
-    /// @return what the other instances hold on each engine, by its key; nothing where no fresh sum is known
+    /// Instances that are listed but not included in the sum, for example because they are cut off from the collectors,
+    /// are assumed to put as much load on each engine as the average of the included ones.
+    /// @return the load that the other instances put on each engine, or nothing if no fresh sum is known
     std::optional<EngineLoads> others(TimePoint now) const;
 
-    /// An instance that died stays listed until its lease ends; the collectors of its data centre miss it sooner.
-    /// @return keys of instances that are listed and not heard; nothing where no fresh sum is known
+    /// A dead instance stays listed until its lease ends. The collectors of its data centre notice its silence sooner.
+    /// @return keys of instances that are listed but silent, see instanceKey; empty if no fresh sum is known
     std::set<std::uint64_t> silentInstances(TimePoint now) const;
 
     bool isCollector() const;
-    /// @return whether this instance comes first in its data centre
+    /// @return whether this instance has the lowest id in its data centre
     bool isFirst() const { return m_peers.at(m_self.dataCentre).front() == m_self; }
 
 private:
-    struct Received {
-        std::uint64_t sequence = 0;
-        TimePoint at;
-        std::uint32_t instances = 1;
+    /// The state of one source of reports: an instance or a data centre.
+    struct Source {
+        std::uint64_t lastSequence = 0;
+        TimePoint lastReceivedAt;
+        std::uint32_t instances = 1; ///< number of instances whose load is included
         EngineLoads engines; ///< merged from the latest report of each slice
         std::uint32_t sliceCount = 0;
         std::set<std::uint32_t> receivedSlices; ///< since sliceCount last changed
         bool isComplete = false; ///< all slices have been received at least once
-        std::vector<std::uint64_t> silentInstances;
+        std::vector<std::uint64_t> silentInstances; ///< as of the last report
     };
-    using Sources = std::map<std::string, Received>; ///< by instance, or by data centre
+    using Sources = std::map<std::string, Source>; ///< by id of the instance or data centre
 
-    void note(Sources&, const std::string& source, const LoadReport&, TimePoint now);
+    /// Merges a report into the state of its source, and removes sources whose last report has expired.
+    void mergeReport(Sources&, const std::string& source, const LoadReport&, TimePoint now);
+    /// @return the collectors of a data centre: the first CollectorCount instances by id
     std::vector<const LoadPeer*> collectorsOf(const DataCentreId&) const;
+    /// @return the number of listed instances, this one included
     std::uint32_t peerCount() const;
-    LoadReport report(
+    LoadReport makeReport(
         LoadScope, std::uint32_t instances, const std::vector<EngineLoad>&, std::size_t reportCount) const;
-    const Received* bestSum(TimePoint now) const;
-    std::vector<std::uint64_t> missedMembers(TimePoint now);
+    const Source* bestFleetSum(TimePoint now) const;
+    std::vector<std::uint64_t> silentMembers(TimePoint now);
 
     LoadPeer m_self;
-    std::size_t m_bytesPerRound;
-    std::map<DataCentreId, std::vector<LoadPeer>> m_peers; ///< this instance included; by id within a data centre
-    std::uint64_t m_sequence = 0;
-    std::vector<EngineLoad> m_own; ///< as last reported
-    Sources m_members; ///< of this data centre, where this instance collects
-    std::map<InstanceId, TimePoint> m_lastHeard; ///< members, where this instance collects; listed ones at first
-    Sources m_dataCentres; ///< the other data centres' sums
-    Sources m_fleet; ///< sums over all, by collector
+    std::size_t m_bytesPerRound; ///< 0: no limit
+    std::map<DataCentreId, std::vector<LoadPeer>> m_peers; ///< sorted by id, this instance included
+    std::uint64_t m_sequence = 0; ///< number of the current round
+    std::vector<EngineLoad> m_ownLoads; ///< as of the last round
+    Sources m_members; ///< instances of this data centre; used only while this instance is a collector
+    /// When each listed instance of this data centre last reported, or was first seen in the list. Used only while this
+    /// instance is a collector.
+    std::map<InstanceId, TimePoint> m_lastHeard;
+    Sources m_dataCentreSums; ///< sums of the other data centres
+    Sources m_fleetSums; ///< sums of all data centres, by the collector that made them
 };
 
 } // namespace crocusmount::relay
--- a/src/relay/LoadReport.h
+++ b/src/relay/LoadReport.h
@@ -8,42 +8,42 @@
 
 namespace crocusmount::relay {
 
-/// What calls hold on one engine.
+/// The load that the running calls of one or more instances put on one engine.
 struct EngineLoad {
-    std::uint64_t engine = 0; ///< key of one start of it, see engineKey
-    double tokenLayers = 0; ///< tokens times layers, estimated by the instances that sent the calls there
-    double calls = 0; ///< that entered there: each takes one of its slots
-    double avoiders = 0; ///< instances that send it no new work, because it failed, stalled or turned all away
+    std::uint64_t engine = 0; ///< key of one start of the engine, see engineKey
+    double tokenLayers = 0; ///< KV cache in use, in tokens times layers, as estimated by the instances
+    double calls = 0; ///< calls that enter the model's chain at this engine; each takes one of the engine's slots
+    double avoiders = 0; ///< instances that send no new work there because the engine failed, stalled or was full
 
     bool operator==(const EngineLoad&) const = default;
 };
 
 using EngineLoads = std::map<std::uint64_t, EngineLoad>; ///< by engine
 
-/// Whose calls a report counts.
+/// The instances whose calls a report includes.
 enum class LoadScope {
-    Instance, ///< the sender's
-    DataCentre, ///< those of all instances in the sender's data centre
-    Fleet, ///< those of all instances
+    Instance, ///< only the sender
+    DataCentre, ///< all instances in the sender's data centre
+    Fleet, ///< all instances
 };
 
-/// What one instance tells another of the load on engines.
+/// A message from one instance to another about the load on engines.
 struct LoadReport {
-    InstanceId sender; ///< new with each start
-    DataCentreId dataCentre; ///< of the sender
-    std::uint64_t sequence = 0; ///< grows with each report of one sender
+    InstanceId sender; ///< each start of an instance has a new id
+    DataCentreId dataCentre; ///< the sender's data centre
+    std::uint64_t sequence = 0; ///< increases with each round of the sender
     LoadScope scope = LoadScope::Instance;
-    std::uint32_t instances = 1; ///< whose calls are counted: fewer than all where some cannot be heard
+    std::uint32_t instances = 1; ///< number of instances whose calls are included; silent ones are missing
     std::vector<EngineLoad> engines;
-    std::vector<std::uint64_t> silentInstances; ///< listed but not heard in their data centre, see instanceKey
-    std::uint32_t slice = 0; ///< index of the slice of engines that the report covers, by key hash
+    std::vector<std::uint64_t> silentInstances; ///< keys of listed instances that stopped reporting, see instanceKey
+    std::uint32_t slice = 0; ///< index of the slice of engines that the report covers, by hash of the engine's key
     std::uint32_t slices = 1; ///< number of slices, sent in rotation
 };
 
-/// @return a short name for one start of an instance in reports, the same in every process
+/// @return a key for one start of an instance in reports; every process computes an equal key
 std::uint64_t instanceKey(const InstanceId&);
 
-/// @return a short name for one start of an engine in reports, the same in every process
+/// @return a key for one start of an engine or other backend server; every process computes an equal key
 std::uint64_t engineKey(const BackendId&, StartTime = {});
 
 } // namespace crocusmount::relay
--- a/src/relay/RequestIdentity.h
+++ b/src/relay/RequestIdentity.h
@@ -9,8 +9,8 @@
 
 namespace crocusmount::relay {
 
-/// A digest of what a caller sent: method, host, target and body. Wide enough that no caller finds a second content for
-/// one, and the same in every process.
+/// A digest of a request's method, host, target and body. The digest is wide enough that a caller cannot find two
+/// contents with equal digests, and does not depend on the process that computes it.
 struct ContentDigest {
     static constexpr std::size_t Size = 16;
 
@@ -21,17 +21,17 @@
 
     /// @return the digest as lower-case hexadecimal digits
     std::string toText() const;
-    /// @param bytes  as they were sent
-    /// @return the digest, or one of zeros where the length is not Size
+    /// @param bytes  a digest as returned by toBytes
+    /// @return the digest, or an all-zero digest if the length is not Size
     static ContentDigest fromBytes(const std::string& bytes);
-    /// @return the bytes, to be sent
+    /// @return the digest as Size raw bytes, for messages to other instances
     std::string toBytes() const { return { bytes.begin(), bytes.end() }; }
 };
 
-/// What makes two calls the same request, though they bear different ids and reach different instances. The caller is
-/// a part of it in the clear, so that nothing that one caller sends can bear on another one's requests.
+/// Identifies repeats of a request across calls with different ids and across instances. The workspace is a separate
+/// member, not part of the digest, so that no caller can affect the requests of another workspace.
 struct RequestIdentity {
-    WorkspaceId workspace; ///< who sends it; empty on an anonymous route
+    WorkspaceId workspace; ///< the sender's workspace; empty on an anonymous route
     ContentDigest content;
 
     auto operator<=>(const RequestIdentity&) const = default; // NOLINT(modernize-use-nullptr)
--- a/src/relay/RequestQuarantine.cpp
+++ b/src/relay/RequestQuarantine.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-    /// Ends of servers further apart than this are not held against the same request.
-    constexpr Duration CrashLifetime = std::chrono::minutes(10);
-    /// By then its caller or the servers' operators have mended it, or it is found out again by one crash.
-    constexpr Duration QuarantineTime = std::chrono::minutes(30);
-    /// Requests that are remembered. Each costs a caller who means harm the end of a server.
-    constexpr std::size_t MostRecords = 4096;
-    /// Servers that are remembered of one request.
-    constexpr std::size_t MostServers = RequestQuarantine::Limit;
+    /// The evidence against a request is dropped if no crash has been reported for this long.
+    constexpr Duration EvidenceLifetime = std::chrono::minutes(10);
+    /// Gives the caller or the operators time to fix the cause. If they have not, one more crash quarantines the
+    /// request again.
+    constexpr Duration QuarantineDuration = std::chrono::minutes(30);
+    /// Limits memory. A malicious caller has to crash a server for each record.
+    constexpr std::size_t MaxRecords = 4096;
+    /// Servers that are remembered for one request. Even with the weakest sign, this many reach the limit.
+    constexpr std::size_t MaxServersPerRequest = RequestQuarantine::Limit;
 
 } // namespace
 
@@ -32,20 +33,20 @@
 
 std::uint32_t RequestQuarantine::Record::points() const
 {
-    std::uint32_t sum = carried;
+    std::uint32_t sum = carriedPoints;
     for (const auto& [server, sign] : servers)
         sum += pointsOf(sign);
     return sum;
 }
 
-RequestQuarantine::Record& RequestQuarantine::recordOf(const RequestIdentity& request, TimePoint now)
+RequestQuarantine::Record& RequestQuarantine::touchRecord(const RequestIdentity& request, TimePoint now)
 {
-    if (!m_records.count(request) && m_records.size() >= MostRecords) {
+    if (!m_records.count(request) && m_records.size() >= MaxRecords) {
         m_records.erase(std::min_element(m_records.begin(), m_records.end(),
-            [](const auto& a, const auto& b) { return a.second.lastCrash < b.second.lastCrash; }));
+            [](const auto& a, const auto& b) { return a.second.lastEvidenceAt < b.second.lastEvidenceAt; }));
     }
     Record& record = m_records[request];
-    record.lastCrash = now;
+    record.lastEvidenceAt = now;
     return record;
 }
 
@@ -53,25 +54,25 @@
 {
     if (!pointsOf(report.suspect.sign))
         return Change::None;
-    Record& record = recordOf(report.suspect.request, now);
+    Record& record = touchRecord(report.suspect.request, now);
     CrashSign& known = record.servers.try_emplace(report.server, CrashSign::None).first->second;
     if (known >= report.suspect.sign)
         return Change::None;
     known = report.suspect.sign;
-    if (record.servers.size() > MostServers)
+    if (record.servers.size() > MaxServersPerRequest)
         record.servers.erase(record.servers.begin());
     if (record.quarantinedUntil || record.points() < Limit)
         return Change::Counted;
-    record.quarantinedUntil = now + QuarantineTime;
+    record.quarantinedUntil = now + QuarantineDuration;
     return Change::Quarantined;
 }
 
 bool RequestQuarantine::quarantine(const RequestIdentity& request, TimePoint now)
 {
-    Record& record = recordOf(request, now);
+    Record& record = touchRecord(request, now);
     if (record.quarantinedUntil)
         return false;
-    record.quarantinedUntil = now + QuarantineTime;
+    record.quarantinedUntil = now + QuarantineDuration;
     return true;
 }
 
@@ -107,12 +108,12 @@
         if (!record.quarantinedUntil || now < *record.quarantinedUntil)
             continue;
         record.quarantinedUntil.reset();
-        record.lastCrash = now;
+        record.lastEvidenceAt = now;
         record.servers.clear();
-        record.carried = Limit - pointsOf(CrashSign::JustBegun);
+        record.carriedPoints = Limit - pointsOf(CrashSign::JustBegun);
     }
     std::erase_if(m_records, [&](const auto& each) {
-        return !each.second.quarantinedUntil && now >= each.second.lastCrash + CrashLifetime;
+        return !each.second.quarantinedUntil && now >= each.second.lastEvidenceAt + EvidenceLifetime;
     });
 }
 
--- a/src/relay/RequestQuarantine.h
+++ b/src/relay/RequestQuarantine.h
@@ -9,57 +9,62 @@
 
 namespace crocusmount::relay {
 
-/// The requests under which servers have ended, and those of them that are sent to no server any more. All instances
-/// tell each other of crashes, so each comes to the same verdicts.
+/// Counts the servers that each request may have crashed and quarantines requests with enough evidence. A quarantined
+/// request is not sent to any server. Instances share their crash reports, so all of them reach the same verdicts.
 class RequestQuarantine {
 public:
-    /// Points of evidence at which a request is quarantined: three servers that had just begun to run it, or six at
-    /// which it waited. A bystander would have had to begin beside the cause each time.
+    /// Points of evidence at which a request is quarantined. Three servers that ended just after they began to run the
+    /// request are enough, or six at which the request was waiting. A request that is not the cause would have to be
+    /// at as many crashed servers by chance.
     static constexpr std::uint32_t Limit = 6;
-    /// @return the points that the end of one server counts
+    /// @return the points of evidence for the end of one server
     static std::uint32_t pointsOf(CrashSign);
 
-    /// What a report changed.
+    /// The effect of a report.
     enum class Change {
-        None, ///< it was known
-        Counted,
-        Quarantined, ///< that is enough
+        None, ///< the report was known already or is no evidence
+        Counted, ///< the report was counted, and the request's quarantine has not changed
+        Quarantined, ///< the report was counted, and the request is quarantined from now on
     };
 
-    /// Takes in that a server ended under a request.
+    /// Counts a report about the end of a server.
     Change add(const CrashReport&, TimePoint now);
 
-    /// Takes in a verdict that another instance came to.
-    /// @return whether it is news
+    /// Quarantines a request, on the verdict of another instance.
+    /// @return whether the request was not quarantined before
     bool quarantine(const RequestIdentity&, TimePoint now);
 
-    /// Forgets all that is known of a request: it has run soundly, or an operator says so.
-    /// @return whether anything was known
+    /// Removes the evidence against a request and its quarantine, because the request ran without crashing its server
+    /// or an operator lifted the quarantine.
+    /// @return whether there was a record of the request
     bool clear(const RequestIdentity&);
 
     bool isQuarantined(const RequestIdentity&, TimePoint now) const;
     /// @return the points of evidence against a request
     std::uint32_t points(const RequestIdentity&) const;
-    /// @return servers that ended under a request, as far as they are remembered
+    /// @return the number of servers that the request may have crashed; at most MaxServersPerRequest are remembered
     std::size_t servers(const RequestIdentity&) const;
     bool empty() const { return m_records.empty(); }
-    /// @return how many requests are sent to no server
+    /// @return the number of quarantined requests
     std::size_t quarantined(TimePoint now) const;
 
-    /// Forgets what is too old. A request whose time is over may run once more: one crash quarantines it again.
+    /// Removes expired evidence and ends expired quarantines. A request whose quarantine has ended may run again. One
+    /// crash just after the request began to run quarantines it again.
     void forgetOld(TimePoint now);
 
 private:
     struct Record {
-        std::map<std::uint64_t, CrashSign> servers; ///< that ended, see engineKey
-        std::uint32_t carried = 0; ///< points of a quarantine that is over
-        TimePoint lastCrash;
-        std::optional<TimePoint> quarantinedUntil;
+        std::map<std::uint64_t, CrashSign> servers; ///< servers that ended, by engineKey
+        std::uint32_t carriedPoints = 0; ///< points kept from a quarantine that has ended
+        TimePoint lastEvidenceAt; ///< when a crash or verdict was last reported, or the quarantine ended
+        std::optional<TimePoint> quarantinedUntil; ///< empty if the request is not quarantined
 
         std::uint32_t points() const;
     };
 
-    Record& recordOf(const RequestIdentity&, TimePoint now);
+    /// Finds or creates the record of a request and sets lastEvidenceAt. If there are MaxRecords already, creating one
+    /// evicts the record with the oldest evidence.
+    Record& touchRecord(const RequestIdentity&, TimePoint now);
 
     std::map<RequestIdentity, Record> m_records;
 };
--- a/src/relay/SoundRequests.cpp
+++ b/src/relay/SoundRequests.cpp
@@ -4,20 +4,20 @@
 
 namespace {
 
-    /// Some 0.5 MB. A request that is popular comes again before so many others have run.
-    constexpr std::size_t MostRemembered = 4096;
+    /// About 0.5 MB. A popular request is added again before this many others have run and evicted it.
+    constexpr std::size_t MaxRequests = 4096;
 
 } // namespace
 
 void SoundRequests::add(const RequestIdentity& request)
 {
-    if (!m_known.insert(request).second)
+    if (!m_requests.insert(request).second)
         return;
-    m_byAge.push_back(request);
-    if (m_byAge.size() <= MostRemembered)
+    m_insertionOrder.push_back(request);
+    if (m_insertionOrder.size() <= MaxRequests)
         return;
-    m_known.erase(m_byAge.front());
-    m_byAge.pop_front();
+    m_requests.erase(m_insertionOrder.front());
+    m_insertionOrder.pop_front();
 }
 
 } // namespace crocusmount::relay
--- a/src/relay/SoundRequests.h
+++ b/src/relay/SoundRequests.h
@@ -7,18 +7,20 @@
 
 namespace crocusmount::relay {
 
-/// The requests that have lately run soundly here, so many of them as are worth their memory.
+/// A bounded set of requests that have recently run without crashing their server. When the set is full, adding a
+/// request evicts the one that was added first.
 ///
-/// The load pattern that it answers: many callers send one popular request, so that it is beginning at every server of
-/// a service at any moment. When these end together, it would look like the cause of each end.
+/// Requests in the set are never suspected of crashing a server. Without this exemption, a popular request that many
+/// callers send would look like the cause when all servers of a service end together, because at any time it is just
+/// beginning to run on each of them.
 class SoundRequests {
 public:
     void add(const RequestIdentity&);
-    bool contains(const RequestIdentity& request) const { return m_known.count(request) != 0; }
+    bool contains(const RequestIdentity& request) const { return m_requests.count(request) != 0; }
 
 private:
-    std::set<RequestIdentity> m_known;
-    std::deque<RequestIdentity> m_byAge; ///< the same, oldest first
+    std::set<RequestIdentity> m_requests;
+    std::deque<RequestIdentity> m_insertionOrder; ///< all elements of m_requests, oldest first
 };
 
 } // namespace crocusmount::relay
