--- a/src/admission/ConcurrencyLimit.cpp
+++ b/src/admission/ConcurrencyLimit.cpp
@@ -7,24 +7,28 @@
 
 namespace {
 
-    /// Enough to notice that an overload is over. Many instances share few engines: more would keep these overloaded.
-    constexpr double Least = 1;
-    constexpr double Most = 512;
-    /// An answer that begins this late, as part of the objective, shows that the next ones may miss it.
+    /// One call is enough to detect the end of an overload. Many instances share few engines, so that a higher minimum
+    /// would keep these overloaded.
+    constexpr double MinLimit = 1;
+    constexpr double MaxLimit = 512;
+    /// An answer that takes more than this share of the objective to begin is late. The next ones may miss the
+    /// objective.
     constexpr double LateRatio = 0.8;
-    /// Below this part of the objective there is room for more.
+    /// An answer that takes less than this share of the objective to begin is early. There is room for more calls.
     constexpr double EarlyRatio = 0.5;
-    /// The bound grows only while it binds: in flight at least this part of it.
-    constexpr double BindingShare = 0.8;
-    /// An early answer makes room for one more. With less the bound would stand still until streams end, which takes
-    /// seconds.
-    constexpr double Increase = 1;
-    /// A bound far above what is in flight would take many steps to bind. The number of calls varies by chance, by the
-    /// square root of their mean, so the bound keeps this many such deviations above it.
-    constexpr double Headroom = 2;
+    /// The limit increases only if the calls in flight use at least this share of it.
+    constexpr double MinUseForIncrease = 0.8;
+    /// Each early answer admits one more call. With a smaller step, the limit would admit no further call until streams
+    /// end, which takes seconds.
+    constexpr double IncreaseStep = 1;
+    /// A limit far above the number of calls in flight would have no effect until after many decreases, so a decrease
+    /// first lowers the limit to near that number. The number varies randomly with a standard deviation of its square
+    /// root. The limit stays this many standard deviations above the number.
+    constexpr double HeadroomDeviations = 2;
     constexpr double DecreaseFactor = 0.95;
-    /// Calls in flight answer to a smaller bound only after some of them ended; until then further decreases overshoot.
-    constexpr Duration DecreaseInterval = std::chrono::milliseconds(150);
+    /// Minimum time between decreases. The number of calls in flight follows a lower limit only after some of them have
+    /// ended, and further decreases until then would overshoot.
+    constexpr Duration MinDecreaseInterval = std::chrono::milliseconds(150);
 
 } // namespace
 
@@ -32,18 +36,19 @@
 {
     if (ratio > LateRatio)
         decrease(inFlight, now);
-    else if (ratio < EarlyRatio && inFlight >= BindingShare * m_limit)
-        m_limit = std::min(Most, m_limit + Increase);
+    else if (ratio < EarlyRatio && inFlight >= MinUseForIncrease * m_limit)
+        m_limit = std::min(MaxLimit, m_limit + IncreaseStep);
 }
 
 void ConcurrencyLimit::rejected(double inFlight, TimePoint now) { decrease(inFlight, now); }
 
 void ConcurrencyLimit::decrease(double inFlight, TimePoint now)
 {
-    if (now < m_lastDecrease + DecreaseInterval)
+    if (now < m_lastDecrease + MinDecreaseInterval)
         return;
     m_lastDecrease = now;
-    m_limit = std::max(Least, std::min(m_limit, inFlight + Headroom * std::sqrt(inFlight + 1)) * DecreaseFactor);
+    m_limit = std::max(
+        MinLimit, std::min(m_limit, inFlight + HeadroomDeviations * std::sqrt(inFlight + 1)) * DecreaseFactor);
 }
 
 } // namespace crocusmount
--- a/src/admission/ConcurrencyLimit.h
+++ b/src/admission/ConcurrencyLimit.h
@@ -4,21 +4,24 @@
 
 namespace crocusmount {
 
-/// An adaptive bound on the calls that one instance keeps in flight at a service: additive increase while answers begin
-/// early, multiplicative decrease when they begin late or servers turn calls away.
+/// An adaptive limit on the calls that one instance has in flight at a service, with additive increase and
+/// multiplicative decrease (AIMD). The limit increases while answers begin early, and decreases when answers begin late
+/// or servers reject calls.
 ///
-/// The load that it answers: capacity is lost while calls keep coming. Without a bound all of them are taken and all
-/// are late; with it, those taken are on time, and the others learn at once when to come back. Instances need not
-/// agree: each sees the same engines, so their bounds shrink and grow alike.
+/// If capacity is lost while calls keep arriving, admitting all of them would delay all of them. With the limit, the
+/// admitted calls are on time, and the callers of the others are told at once when to retry. Instances do not have to
+/// coordinate: all of them use the same engines, so their limits rise and fall together.
 class ConcurrencyLimit {
 public:
-    /// Takes in how long an answer took to begin.
-    /// @param ratio     time over the objective
-    /// @param inFlight  calls of this instance at the service
+    /// Adjusts the limit to the time until an answer began.
+    /// @param ratio     that time, divided by the service's objective for it
+    /// @param inFlight  number of calls that this instance has in flight at the service
     void answered(double ratio, double inFlight, TimePoint now);
-    /// Takes in that a server turned a call away for want of room.
+    /// Decreases the limit because a server rejected a call for lack of capacity.
+    /// @param inFlight  number of calls that this instance has in flight at the service
     void rejected(double inFlight, TimePoint now);
 
+    /// @return the limit, in calls
     double value() const { return m_limit; }
 
 private:
--- a/src/admission/FairQueue.h
+++ b/src/admission/FairQueue.h
@@ -9,8 +9,9 @@
 
 namespace crocusmount {
 
-/// The waiting requests of one pipeline. Higher priority goes first; within a priority, workspaces share by weight:
-/// each has a virtual time that advances by cost/weight as its requests are taken, and the least goes next.
+/// The queue of waiting requests of one pipeline. Requests of higher priority go first. Within a priority, workspaces
+/// are served by weighted fair queueing: each has a virtual time that advances by cost / weight with each of its
+/// requests that is removed, and the workspace with the lowest virtual time is served next.
 class FairQueue {
 public:
     struct Waiting {
@@ -18,35 +19,42 @@
         double cost = 1;
     };
 
-    /// @param weight  the workspace's share, at least 1
+    /// Appends a request to the queue of its workspace.
+    /// @param weight    the workspace's weight; 0 counts as 1
+    /// @param priority  higher values go first
     void push(const WorkspaceId&, std::uint32_t weight, int priority, Waiting);
-    /// Puts a request back at the front of its workspace, at no further cost.
+    /// Puts a request back at the front of its workspace's queue, without charging its cost again.
     void pushFront(const WorkspaceId&, std::uint32_t weight, int priority, RequestId);
-    /// @return the next request, taken off the queue
+    /// Removes the next request.
+    /// @return the request, or nothing if the queue is empty
     std::optional<RequestId> pop();
-    /// Removes a request wherever it waits.
-    /// @return whether it was there
+    /// Removes a request, wherever it is in the queue.
+    /// @return whether the request was in the queue
     bool erase(RequestId);
     std::size_t size() const { return m_size; }
     bool empty() const { return !m_size; }
-    /// @return how many requests go before a new one of this workspace, with all workspaces served by their shares
+    /// @return an estimate of how many requests would be served before a new one of this workspace, with each workspace
+    ///         served in proportion to its weight
     std::size_t aheadOf(const WorkspaceId&, int priority) const;
 
 private:
-    struct Line {
+    /// The requests of one workspace within one priority.
+    struct WorkspaceQueue {
         std::deque<Waiting> waiting;
-        double virtualTime = 0;
+        double virtualTime = 0; ///< sum of cost / weight, from the priority's virtual time when the queue was created
         std::uint32_t weight = 1;
     };
-    struct Level {
-        std::map<WorkspaceId, Line> lines;
-        double virtualTime = 0;
+    struct PriorityLevel {
+        std::map<WorkspaceId, WorkspaceQueue> queues;
+        double virtualTime = 0; ///< highest virtual time at which a request was removed
     };
 
-    Line& lineOf(const WorkspaceId&, std::uint32_t weight, int priority);
-    void dropEmpty(int priority, const WorkspaceId&);
+    /// Finds or creates the queue of a workspace and updates its weight.
+    WorkspaceQueue& queueOf(const WorkspaceId&, std::uint32_t weight, int priority);
+    /// Removes the queue of a workspace if it is empty and no longer needed, and a priority without waiting requests.
+    void removeIfEmpty(int priority, const WorkspaceId&);
 
-    std::map<int, Level, std::greater<>> m_levels;
+    std::map<int, PriorityLevel, std::greater<>> m_levels; ///< by priority, the highest first
     std::size_t m_size = 0;
 };
 
--- a/src/admission/RetryBudget.h
+++ b/src/admission/RetryBudget.h
@@ -4,57 +4,60 @@
 
 namespace crocusmount {
 
-/// Bounds retries to a share of the requests, so that retries cannot amplify an outage.
+/// A token bucket that limits retries to a share of the requests, so that retries cannot amplify an outage. Each token
+/// pays for one retry.
 class RetryBudget {
 public:
-    /// @param ratio  retries that each request earns
-    /// @param burst  most retries that can be saved up
-    /// @param ripe   part of the burst that is there from the start, see ripen
-    RetryBudget(double ratio, double burst, double ripe = 1)
-        : m_ratio(ratio)
-        , m_burst(burst)
-        , m_ripe(ripe)
-        , m_saved(burst * ripe)
+    /// @param ratio         tokens added per request
+    /// @param burst         capacity of the bucket, in tokens
+    /// @param initialShare  share of the capacity that is filled at the start, see ripen
+    RetryBudget(double ratio, double burst, double initialShare = 1)
+        : m_tokensPerRequest(ratio)
+        , m_capacity(burst)
+        , m_grantedShare(initialShare)
+        , m_tokens(burst * initialShare)
     {
     }
 
-    /// Grants the burst bit by bit to a process that has just started: one that is started several times within the
-    /// window over which retries are counted has no more than one that runs on.
-    /// @param share  of the burst that has been granted by now, from 0 to 1
+    /// Fills the bucket of a process that has just started step by step. A process that is restarted several times
+    /// within the window over which retries are counted thus gets no more retries than one that keeps running.
+    /// @param share  share of the capacity to have been granted by now, from 0 to 1; ignored unless it has grown
     void ripen(double share)
     {
-        if (share <= m_ripe)
+        if (share <= m_grantedShare)
             return;
-        m_saved = std::min(m_burst, m_saved + (share - m_ripe) * m_burst);
-        m_ripe = share;
+        m_tokens = std::min(m_capacity, m_tokens + (share - m_grantedShare) * m_capacity);
+        m_grantedShare = share;
     }
 
-    /// Changes how many retries can be saved up, as instances that share the whole come and go. What is saved stays, up
-    /// to the new limit.
+    /// Changes the capacity of the bucket, for example because the number of instances that share the total has
+    /// changed. The tokens in the bucket are kept, up to the new capacity.
     void setBurst(double burst)
     {
-        m_burst = burst;
-        m_saved = std::min(m_saved, burst);
+        m_capacity = burst;
+        m_tokens = std::min(m_tokens, burst);
     }
 
-    void earn() { m_saved = std::min(m_burst, m_saved + m_ratio); }
+    /// Adds the tokens for one request.
+    void earn() { m_tokens = std::min(m_capacity, m_tokens + m_tokensPerRequest); }
 
     /// @return whether one more retry is allowed
-    bool hasOne() const { return m_saved >= 1; }
-    /// @return whether one more retry is allowed; it is then spent
+    bool hasOne() const { return m_tokens >= 1; }
+    /// Consumes a token if there is one.
+    /// @return whether the retry is allowed
     bool spend()
     {
-        if (m_saved < 1)
+        if (m_tokens < 1)
             return false;
-        m_saved -= 1;
+        m_tokens -= 1;
         return true;
     }
 
 private:
-    double m_ratio;
-    double m_burst;
-    double m_ripe;
-    double m_saved;
+    double m_tokensPerRequest;
+    double m_capacity; ///< in tokens
+    double m_grantedShare; ///< share of the capacity granted so far
+    double m_tokens; ///< in the bucket
 };
 
 } // namespace crocusmount
--- a/src/planning/FlowBound.cpp
+++ b/src/planning/FlowBound.cpp
@@ -15,8 +15,8 @@
             boost::property<boost::edge_residual_capacity_t, std::int64_t,
                 boost::property<boost::edge_reverse_t, Edge>>>>;
 
-    /// Flows are whole numbers, so capacities are counted in thousandths of a token a second.
-    constexpr double Scale = 1000;
+    /// Flows are integers, so capacities are in thousandths of a token per second.
+    constexpr double UnitsPerToken = 1000;
 
     void addEdge(Graph& graph, std::uint32_t from, std::uint32_t to, std::int64_t capacity)
     {
@@ -38,10 +38,10 @@
     for (const BackendReport& holding : holdings) {
         if (!holding.layers.size() || holding.layers.end > layerCount || holding.stepMicros <= 0)
             continue;
-        const double perSecond = 1e6 * holding.slots / static_cast<double>(holding.stepMicros);
-        addEdge(graph, holding.layers.begin, holding.layers.end, std::llround(perSecond * Scale));
+        const double tokensPerSecond = 1e6 * holding.slots / static_cast<double>(holding.stepMicros);
+        addEdge(graph, holding.layers.begin, holding.layers.end, std::llround(tokensPerSecond * UnitsPerToken));
     }
-    return static_cast<double>(boost::push_relabel_max_flow(graph, 0, layerCount)) / Scale;
+    return static_cast<double>(boost::push_relabel_max_flow(graph, 0, layerCount)) / UnitsPerToken;
 }
 
 } // namespace crocusmount
--- a/src/planning/HolderWeights.cpp
+++ b/src/planning/HolderWeights.cpp
@@ -12,7 +12,7 @@
 {
 }
 
-std::size_t HolderWeights::kinds() const { return m_model.kinds.size() + 1; }
+std::size_t HolderWeights::kindCount() const { return m_model.kinds.size() + 1; }
 
 std::size_t HolderWeights::indexOf(const std::string& accelerator) const
 {
@@ -23,7 +23,7 @@
 double HolderWeights::weight(std::size_t holder, std::size_t placed) const
 {
     const double reference = std::min(m_meanSlowness, slownessOf(placed));
-    return m_alike ? 1 : std::min(1.0, reference / slownessOf(holder));
+    return m_countsAllAlike ? 1 : std::min(1.0, reference / slownessOf(holder));
 }
 
 double HolderWeights::slownessOf(std::size_t kind) const
--- a/src/planning/HolderWeights.h
+++ b/src/planning/HolderWeights.h
@@ -9,35 +9,39 @@
     struct EngineModel;
 }
 
-/// Kinds of card, and what a holder of one kind counts where an engine of another is placed.
+/// Weighs existing holders of a layer by accelerator kind, to decide where one more engine is placed.
 ///
-/// A holder counts by its speed against the placed engine's or the fleet's mean, whichever is faster, and one at most:
-/// streams at a layer that only slow cards hold still wait for a faster one, while a fleet of slow cards is served by
-/// them. Mean worth of five days with trouble: where all holders counted one, 0.470 against 0.509 in a fleet of 38
-/// engines whose 14 slow cards stand by; where slow ones always counted 0.4, 0.690 against 0.727 in one that lives by
-/// its 33.
+/// A holder counts by its speed relative to the faster of the placed engine and the fleet's mean, and at most as 1.
+/// Streams at a layer that only slow cards hold still wait for a faster card, while a fleet that has mostly slow cards
+/// is served by these. Mean score of five benchmark days with failures:
+/// - with all holders counted as 1: 0.470 instead of 0.509 in a fleet of 38 engines that keeps its 14 slow cards in
+///   reserve;
+/// - with slow holders always counted as 0.4: 0.690 instead of 0.727 in a fleet that depends on its 33 slow cards.
 class HolderWeights {
 public:
-    /// @param model         must outlive this
-    /// @param meanSlowness  of the fleet's cards, weighed by the layers that they hold
+    /// @param model         must outlive this object
+    /// @param meanSlowness  the fleet's mean AcceleratorKind::stepFactor, weighted by the layers that each card holds
     HolderWeights(const relay::EngineModel& model, double meanSlowness);
 
-    /// Has each holder count one.
-    void countAllAlike() { m_alike = true; }
+    /// Makes each holder count as 1.
+    void countAllAlike() { m_countsAllAlike = true; }
 
-    /// @return how many indices there are
-    std::size_t kinds() const;
-    /// @return index of a kind of card; the last for those that the model does not name
+    /// @return the number of valid kind indices
+    std::size_t kindCount() const;
+    /// @return the index of an accelerator kind; all kinds that the model does not name share the last index
     std::size_t indexOf(const std::string& accelerator) const;
-    /// @return what a holder of one kind counts where an engine of another is placed, from 0 to 1
+    /// @param holder  kind index of the existing holder
+    /// @param placed  kind index of the engine to be placed
+    /// @return the weight of the holder, from 0 to 1
     double weight(std::size_t holder, std::size_t placed) const;
 
 private:
+    /// @return the step time of a kind relative to the model's reference card; the fleet's mean for unknown kinds
     double slownessOf(std::size_t kind) const;
 
     const relay::EngineModel& m_model;
     double m_meanSlowness = 1;
-    bool m_alike = false;
+    bool m_countsAllAlike = false;
 };
 
 } // namespace crocusmount
--- a/src/planning/LayerCoverage.cpp
+++ b/src/planning/LayerCoverage.cpp
@@ -9,93 +9,95 @@
 
 namespace {
 
-    /// What one more holder of a layer is worth after each holder in the same data centre.
+    /// Factor by which each holder in a data centre reduces the value of one more holder there.
     constexpr double LocalDecay = 0.2;
-    /// The same after each holder anywhere.
-    constexpr double GlobalDecay = 0.5;
-    constexpr double GlobalWeight = 0.5;
-    /// What each holder of the first layer is worth, in layers, while a data centre has too few of them. Calls enter
-    /// there, and each takes a slot for as long as it runs.
-    constexpr double EntryWorth = 2;
-    /// Sums in another order differ by less; of ranges worth the same the first is taken.
+    /// Factor by which each holder in the fleet reduces the value of one more holder for the fleet.
+    constexpr double FleetDecay = 0.5;
+    /// Value for the fleet of the first holder of a layer, where the value for the data centre is 1.
+    constexpr double FleetWeight = 0.5;
+    /// Additional value, in layers, of a holder of the first layer while a data centre has too few of them. Calls enter
+    /// the chain at the first layer, and each takes one of the engine's slots for as long as it runs.
+    constexpr double EntryValue = 2;
+    /// Relative difference above which a range counts as better. Larger than the rounding errors of sums in different
+    /// order, so that the first of several equally good ranges is chosen.
     constexpr double Tolerance = 1e-9;
 
 } // namespace
 
 LayerCoverage::LayerCoverage(std::uint32_t layers, std::map<DataCentreId, double> entries, const HolderWeights& weights)
-    : m_layers(layers)
+    : m_layerCount(layers)
     , m_weights(weights)
-    , m_all(emptyLayers())
-    , m_entries(std::move(entries))
+    , m_fleetHolders(emptyLayers())
+    , m_requiredEntries(std::move(entries))
 {
 }
 
 std::vector<LayerCoverage::Holders> LayerCoverage::emptyLayers() const
 {
-    return std::vector<Holders>(m_layers, Holders(m_weights.kinds()));
+    return std::vector<Holders>(m_layerCount, Holders(m_weights.kindCount()));
 }
 
-std::vector<LayerCoverage::Holders>& LayerCoverage::local(const DataCentreId& dataCentre)
+std::vector<LayerCoverage::Holders>& LayerCoverage::localHolders(const DataCentreId& dataCentre)
 {
-    return m_local.try_emplace(dataCentre, emptyLayers()).first->second;
+    return m_localHolders.try_emplace(dataCentre, emptyLayers()).first->second;
 }
 
 void LayerCoverage::add(const DataCentreId& dataCentre, const LayerRange& range, std::size_t kind, int change)
 {
-    std::vector<Holders>& holders = local(dataCentre);
-    for (std::uint32_t layer = range.begin; layer < std::min(range.end, m_layers); ++layer) {
+    std::vector<Holders>& holders = localHolders(dataCentre);
+    for (std::uint32_t layer = range.begin; layer < std::min(range.end, m_layerCount); ++layer) {
         holders[layer][kind] += change;
-        m_all[layer][kind] += change;
+        m_fleetHolders[layer][kind] += change;
     }
 }
 
-double LayerCoverage::worth(const DataCentreId& dataCentre, const LayerRange& range, std::size_t kind)
+double LayerCoverage::marginalValue(const DataCentreId& dataCentre, const LayerRange& range, std::size_t kind)
 {
-    const std::vector<double> layers = layerWorths(dataCentre, kind);
-    double sum = range.begin == 0 ? entryWorth(dataCentre, kind) : 0;
-    for (std::uint32_t layer = range.begin; layer < std::min(range.end, m_layers); ++layer)
-        sum += layers[layer];
+    const std::vector<double> values = layerValues(dataCentre, kind);
+    double sum = range.begin == 0 ? entryValue(dataCentre, kind) : 0;
+    for (std::uint32_t layer = range.begin; layer < std::min(range.end, m_layerCount); ++layer)
+        sum += values[layer];
     return sum;
 }
 
-LayerRange LayerCoverage::best(const DataCentreId& dataCentre, std::uint32_t count, std::size_t kind)
+LayerRange LayerCoverage::bestRange(const DataCentreId& dataCentre, std::uint32_t count, std::size_t kind)
 {
-    const std::vector<double> layers = layerWorths(dataCentre, kind);
-    const std::uint32_t length = std::min(count, m_layers);
+    const std::vector<double> values = layerValues(dataCentre, kind);
+    const std::uint32_t length = std::min(count, m_layerCount);
     double sum = 0;
     for (std::uint32_t layer = 0; layer < length; ++layer)
-        sum += layers[layer];
-    LayerRange chosen { 0, length };
-    double most = sum + entryWorth(dataCentre, kind);
-    for (std::uint32_t begin = 1; begin + length <= m_layers; ++begin) {
-        sum += layers[begin + length - 1] - layers[begin - 1];
-        if (sum > most * (1 + Tolerance)) {
-            most = sum;
-            chosen = { begin, begin + length };
+        sum += values[layer];
+    LayerRange best { 0, length };
+    double highestValue = sum + entryValue(dataCentre, kind);
+    for (std::uint32_t begin = 1; begin + length <= m_layerCount; ++begin) {
+        sum += values[begin + length - 1] - values[begin - 1];
+        if (sum > highestValue * (1 + Tolerance)) {
+            highestValue = sum;
+            best = { begin, begin + length };
         }
     }
-    return chosen;
+    return best;
 }
 
-/// @return what one more holder of each layer is worth
-std::vector<double> LayerCoverage::layerWorths(const DataCentreId& dataCentre, std::size_t kind)
+/// @return the value of one more holder for each layer
+std::vector<double> LayerCoverage::layerValues(const DataCentreId& dataCentre, std::size_t kind)
 {
-    const std::vector<Holders>& holders = local(dataCentre);
-    std::vector<double> worths(m_layers);
-    for (std::uint32_t layer = 0; layer < m_layers; ++layer) {
-        worths[layer] = std::pow(LocalDecay, count(holders[layer], kind))
-            + GlobalWeight * std::pow(GlobalDecay, count(m_all[layer], kind));
+    const std::vector<Holders>& holders = localHolders(dataCentre);
+    std::vector<double> values(m_layerCount);
+    for (std::uint32_t layer = 0; layer < m_layerCount; ++layer) {
+        values[layer] = std::pow(LocalDecay, weightedCount(holders[layer], kind))
+            + FleetWeight * std::pow(FleetDecay, weightedCount(m_fleetHolders[layer], kind));
     }
-    return worths;
+    return values;
 }
 
-/// @return what the first layer is worth besides, while a data centre has too few holders of it
-double LayerCoverage::entryWorth(const DataCentreId& dataCentre, std::size_t kind)
+/// @return the additional value of a holder of the first layer: EntryValue while the data centre has too few of them
+double LayerCoverage::entryValue(const DataCentreId& dataCentre, std::size_t kind)
 {
-    return count(local(dataCentre)[0], kind) < m_entries[dataCentre] ? EntryWorth : 0;
+    return weightedCount(localHolders(dataCentre)[0], kind) < m_requiredEntries[dataCentre] ? EntryValue : 0;
 }
 
-double LayerCoverage::count(const Holders& holders, std::size_t placed) const
+double LayerCoverage::weightedCount(const Holders& holders, std::size_t placed) const
 {
     double sum = 0;
     for (std::size_t kind = 0; kind < holders.size(); ++kind)
--- a/src/planning/LayerPlanner.h
+++ b/src/planning/LayerPlanner.h
@@ -11,7 +11,7 @@
 
 namespace crocusmount {
 
-/// Decides which layers each engine is to hold. A function of what is known; it keeps no state and does no I/O.
+/// Decides which layers each engine of a service holds. The planner is stateless and does no I/O.
 class LayerPlanner {
 public:
     /// One engine of the model's service.
@@ -19,13 +19,14 @@
         BackendId id;
         DataCentreId dataCentre;
         std::string accelerator;
-        LayerRange held; ///< as reported; empty if none
-        std::optional<LayerRange> ordered; ///< an order under way
-        bool leaving = false;
-        std::uint32_t slots = 1; ///< calls that may enter there at once
-        double tokenLayers = 0; ///< KV cache in use there, of all instances
+        LayerRange held; ///< layers that the engine reports to hold; empty if none
+        std::optional<LayerRange> ordered; ///< layers that the engine has been ordered to load and does not hold yet
+        bool leaving = false; ///< the engine is about to shut down and gets no orders
+        std::uint32_t slots = 1; ///< maximum number of concurrent calls that enter the chain at this engine
+        double tokenLayers = 0; ///< KV cache in use by calls of all instances, in tokens times layers
     };
 
+    /// An order to an engine to hold a range of layers in place of its present ones.
     struct Order {
         BackendId engine;
         LayerRange layers;
@@ -33,15 +34,17 @@
         bool operator==(const Order&) const = default;
     };
 
-    /// @param model    figures of the model
-    /// @param engines  all that are registered
-    /// @return a range for each engine that holds nothing, and moves of engines whose range others hold too, to where
-    ///         holders are missing; never more layers than fit
+    /// Assigns a range to each engine without layers, and moves engines from ranges with enough other holders to ranges
+    /// that lack holders. An engine never gets more layers than fit into its memory.
+    /// @param engines   all registered engines of the service
+    /// @param disabled  mechanisms that are switched off
+    /// @return the orders to send now; empty if the placement stays as it is
     static std::vector<Order> plan(const relay::EngineModel& model, const std::vector<Engine>& engines,
-        const relay::DisabledMechanisms& without = {});
+        const relay::DisabledMechanisms& disabled = {});
 
-    /// @return how many layers an engine of that kind is to hold beside a KV cache for so many tokens
-    static std::uint32_t layersFor(const relay::EngineModel&, const relay::AcceleratorKind&, double kvTokens);
+    /// @param kvTokens  KV cache to keep free for each layer held, in tokens
+    /// @return the number of layers that fit into the memory of an accelerator beside its KV cache, at most all layers
+    static std::uint32_t layersThatFit(const relay::EngineModel&, const relay::AcceleratorKind&, double kvTokens);
 };
 
 } // namespace crocusmount
--- a/src/planning/PlanTiming.cpp
+++ b/src/planning/PlanTiming.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-    /// No plan is made while engines come and go faster than this.
+    /// How long the list must not have changed before a plan is made.
     constexpr Duration SettleTime = std::chrono::milliseconds(350);
-    /// The same for the first plan. About a heartbeat: an engine that runs has registered by then. Nothing is served
-    /// before it, so that a longer wait would cost callers more than a plan for a few engines less.
-    constexpr Duration FirstSettleTime = std::chrono::milliseconds(1000);
+    /// How long the list must not have changed before the first plan is made. About one heartbeat, by which a running
+    /// engine has registered. Nothing is served before the first plan, so a longer delay would cost callers more than a
+    /// plan that lacks a few engines.
+    constexpr Duration FirstPlanSettleTime = std::chrono::milliseconds(1000);
 
 } // namespace
 
@@ -18,9 +19,9 @@
 {
     if (engines != m_engines) {
         m_engines = std::move(engines);
-        m_since = now;
+        m_lastChangeAt = now;
     }
-    return now - m_since >= (anyHolds ? SettleTime : FirstSettleTime);
+    return now - m_lastChangeAt >= (anyHolds ? SettleTime : FirstPlanSettleTime);
 }
 
 } // namespace crocusmount
--- a/src/planning/PlanTiming.h
+++ b/src/planning/PlanTiming.h
@@ -7,22 +7,22 @@
 
 namespace crocusmount {
 
-/// Tells when the list of a service's engines is whole enough to plan for. Each plan keeps what the one before placed,
-/// so one made for a part of the engines fits badly until layers are moved.
+/// Delays the planning of a service's layers until the list of its engines has not changed for some time.
 ///
-/// The load pattern that it answers: engines of a service that starts register over some seconds, with pauses among
-/// them. A first plan for those before a pause leaves the fleet badly placed for as long as nothing moves.
+/// The engines of a starting service register over several seconds, with pauses in between. Each plan keeps the layers
+/// that the previous one placed, so a plan that is made during a pause for only some of the engines leaves the fleet
+/// badly placed until layers are moved.
 class PlanTiming {
 public:
-    /// Takes in the list.
-    /// @param engines     all that are listed
-    /// @param anyHolds    whether any of them holds layers, or has been ordered to
+    /// Updates the list of engines.
+    /// @param engines   all listed engines of the service
+    /// @param anyHolds  whether any of them holds layers or has been ordered to load some
     /// @return whether a plan may be made now
     bool isDue(std::set<BackendId> engines, bool anyHolds, TimePoint now);
 
 private:
     std::set<BackendId> m_engines;
-    TimePoint m_since; ///< since when the list stands as it does
+    TimePoint m_lastChangeAt; ///< when the list last changed
 };
 
 } // namespace crocusmount
