--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -10,19 +10,20 @@
 
 TEST_GROUP(Admission) {};
 
-TEST(Admission, AShortageLastsFromItsFirstRefusalUntilAPauseWithoutOne)
+TEST(Admission, AShortageLastsFromItsFirstRefusalToAPauseInRefusals)
 {
     const struct {
         std::int64_t atMs;
-        std::int64_t lastedMs;
+        std::int64_t durationMs; ///< of the shortage so far
     } refusals[] = { { 10000, 0 }, { 10500, 500 }, { 12000, 2000 }, { 13900, 3900 }, { 16000, 0 }, { 16100, 100 } };
     ServiceQueue queue;
     for (const auto& each : refusals)
-        CHECK_EQUAL(each.lastedMs * 1000, queue.refused(timePoint(each.atMs * 1000)).count());
+        CHECK_EQUAL(each.durationMs * 1000, queue.refused(timePoint(each.atMs * 1000)).count());
 }
 
-// scc-faq trouble-2: refused callers came back within 2 s into a shortage of ten, once, and were refused for good.
-TEST(Admission, CallersComeBackLaterTheLongerAShortageLasts)
+// Guards against callers that are told to retry before a shortage ends. In a shortage of 10 s, refused callers retried
+// once, within 2 s, were refused again and gave up.
+TEST(Admission, RetryAfterGrowsWithTheDurationOfAShortage)
 {
     RelayHarness harness;
     for (const char* id : { "x", "y" })
@@ -37,7 +38,7 @@
             continue;
         CHECK_TRUE(refusal->reason == Reason::NoCapacity);
         CHECK_TRUE(refusal->retryAfter >= milliseconds(600));
-        CHECK_TRUE(refusal->retryAfter <= seconds(6)); // A third of 20 s is all that callers heed.
+        CHECK_TRUE(refusal->retryAfter <= seconds(6)); // Callers ignore more than a third of 20 s.
         first = first.count() ? first : refusal->retryAfter;
         last = refusal->retryAfter;
     }
@@ -45,35 +46,36 @@
     CHECK_TRUE(last >= milliseconds(2000));
 }
 
-// scc-faq scale-1: after an overload the bound grew by half a stream for each early answer, so that it stood still
-// until streams ended, which takes three seconds each.
-TEST(Admission, TheBoundReturnsAsFastAsStreamsBegin)
+// Guards against a slow recovery from an overload. When the limit increased by half a stream for each early answer, no
+// further streams were admitted until running ones ended, and each stream takes three seconds.
+TEST(Admission, TheConcurrencyLimitRecoversAsFastAsStreamsBegin)
 {
     ConcurrencyLimit limit;
     for (std::int64_t i = 0; i < 200; ++i)
         limit.rejected(0, timePoint(i * 200000));
-    const double low = limit.value();
-    CHECK_TRUE(low <= 4);
-    double inFlight = low;
-    for (std::int64_t i = 0; i < 50; ++i) { // None of them ends meanwhile.
+    const double lowLimit = limit.value();
+    CHECK_TRUE(lowLimit <= 4);
+    double inFlight = lowLimit;
+    for (std::int64_t i = 0; i < 50; ++i) { // No stream ends meanwhile.
         limit.answered(0.1, inFlight, timePoint(60000000 + i * 60000));
         inFlight = limit.value();
     }
-    CHECK_TRUE(inFlight >= low + 50);
+    CHECK_TRUE(inFlight >= lowLimit + 50);
 }
 
-// One late answer in a few streams is chance: an instance of 80 carries some ten.
-TEST(Admission, ADecreaseLeavesRoomForChance)
+// Guards against a limit that falls too far because of a random late answer. With 80 instances, each one has only about
+// ten streams in flight, and their number varies.
+TEST(Admission, ADecreaseLeavesHeadroomForRandomVariation)
 {
     const struct {
         double inFlight;
-        double least;
-        double most;
+        double minLimit;
+        double maxLimit;
     } cases[] = { { 4, 7, 9 }, { 25, 32, 35 }, { 100, 112, 118 } };
     for (const auto& each : cases) {
         ConcurrencyLimit limit;
         limit.answered(2, each.inFlight, timePoint(1000000));
-        CHECK_TRUE(limit.value() >= each.least);
-        CHECK_TRUE(limit.value() <= each.most);
+        CHECK_TRUE(limit.value() >= each.minLimit);
+        CHECK_TRUE(limit.value() <= each.maxLimit);
     }
 }
--- a/tests/CrashFleet.cpp
+++ b/tests/CrashFleet.cpp
@@ -8,18 +8,22 @@
 
     using std::chrono::milliseconds;
 
-    constexpr Duration Step = milliseconds(5);
+    constexpr Duration TimeStep = milliseconds(5);
     constexpr Duration TickInterval = milliseconds(20);
+    /// From the start or reroute of an attempt to the beginning of its answer or its next event.
     constexpr Duration TimeToBegin = milliseconds(60);
+    /// From the beginning of a crashing request's answer to the crash of the engine.
     constexpr Duration TimeToCrash = milliseconds(50);
+    /// Between two events of a stream.
     constexpr Duration EventInterval = milliseconds(40);
-    constexpr std::uint64_t EventsOfStream = 40;
-    /// An entry ends after three heartbeats without a word.
-    constexpr Duration Lapse = milliseconds(3600);
-    constexpr std::uint32_t Slots = 192;
-    constexpr int TellingRounds = 3;
+    constexpr std::uint64_t EventsPerStream = 40;
+    /// A registry entry expires after three missed heartbeats.
+    constexpr Duration EntryLifetime = milliseconds(3600);
+    constexpr std::uint32_t SlotsPerEngine = 192;
+    /// Number of times that each event for the other instances is sent.
+    constexpr int BroadcastRounds = 3;
     constexpr Duration RoundInterval = milliseconds(150);
-    /// Until what is written to the store is read by all.
+    /// Time until all instances have read a value that was written to the store.
     constexpr Duration StoreDelay = milliseconds(500);
 
 } // namespace
@@ -28,37 +32,37 @@
     : m_options(options)
 {
     for (std::size_t i = 0; i < 2 * options.enginesPerHalf; ++i) {
-        const bool first = i < options.enginesPerHalf;
+        const bool isFirstHalf = i < options.enginesPerHalf;
         Engine engine;
-        engine.entry = RelayHarness::engine("e" + std::to_string(i) + "-0", first ? 0 : 4, first ? 4 : 8);
+        engine.entry = RelayHarness::engine("e" + std::to_string(i) + "-0", isFirstHalf ? 0 : 4, isFirstHalf ? 4 : 8);
         engine.entry.address = "10.0.1." + std::to_string(i) + ":80";
-        engine.entry.slots = Slots;
+        engine.entry.slots = SlotsPerEngine;
         m_engines.push_back(engine);
     }
     m_instances.resize(options.instances);
     for (std::size_t i = 0; i < options.instances; ++i)
-        start(i);
+        startInstance(i);
 }
 
-void CrashFleet::start(std::size_t instance)
+void CrashFleet::startInstance(std::size_t instance)
 {
     RelayOptions options;
     options.dataCentre = DataCentreId("z");
     m_instances[instance].reducer = std::make_unique<RelayReducer>(options);
     post(instance, event::ConfigurationAccepted { RouteTable::make(RelayHarness::configuration()) });
     post(instance, event::InstancesCounted { static_cast<std::uint32_t>(m_instances.size()) });
-    for (const RequestIdentity& request : m_written)
+    for (const RequestIdentity& request : m_storedVerdicts)
         post(instance, event::QuarantineListed { request });
     for (const Engine& engine : m_engines) {
-        if (engine.listed)
+        if (engine.isListed)
             post(instance, event::ServerRegistered { engine.entry });
     }
 }
 
 std::uint64_t CrashFleet::random()
 {
-    m_random = m_random * 6364136223846793005ULL + 1442695040888963407ULL;
-    return m_random >> 16U;
+    m_randomState = m_randomState * 6364136223846793005ULL + 1442695040888963407ULL;
+    return m_randomState >> 16U;
 }
 
 void CrashFleet::post(std::size_t instance, RelayEventBody body)
@@ -68,20 +72,20 @@
     apply(instance, effects);
 }
 
-void CrashFleet::later(Duration wait, std::size_t instance, RelayEventBody body)
+void CrashFleet::postLater(Duration delay, std::size_t instance, RelayEventBody body)
 {
-    m_messages.push_back({ m_now + wait, instance, std::move(body) });
+    m_messages.push_back({ m_now + delay, instance, std::move(body) });
 }
 
-/// As instances do: at once, and in the next two rounds, since a message may be lost.
-void CrashFleet::tellOthers(std::size_t instance, const RelayEventBody& body)
+/// Sends the event at once and again in the next two rounds, as real instances do because messages may be lost.
+void CrashFleet::broadcast(std::size_t instance, const RelayEventBody& body)
 {
     for (std::size_t other = 0; other < m_instances.size(); ++other) {
-        for (int round = 0; round < TellingRounds && other != instance; ++round) {
-            const bool lost = static_cast<double>(random() % 1000) < 1000 * m_options.lostMessages;
-            const Duration wait = Step + round * RoundInterval;
-            if (!lost && m_now + wait >= m_instances[other].deafUntil)
-                later(wait, other, body);
+        for (int round = 0; round < BroadcastRounds && other != instance; ++round) {
+            const bool isLost = static_cast<double>(random() % 1000) < 1000 * m_options.messageLossRate;
+            const Duration delay = TimeStep + round * RoundInterval;
+            if (!isLost && m_now + delay >= m_instances[other].isolatedUntil)
+                postLater(delay, other, body);
         }
     }
 }
@@ -90,80 +94,80 @@
 {
     for (const RelayEffect& effect : effects) {
         if (const auto* crashes = std::get_if<effect::ShareCrashes>(&effect)) {
-            tellOthers(instance, event::CrashesReported { crashes->crashes });
+            broadcast(instance, event::CrashesReported { crashes->crashes });
         } else if (const auto* finding = std::get_if<effect::ShareFinding>(&effect)) {
             if (finding->finding == effect::ShareFinding::Finding::Dead)
-                tellOthers(instance, event::EnginesReportedDead { { engineKey(finding->engine, finding->startedAt) } });
-        } else if (const auto* sound = std::get_if<effect::ShareSoundRequest>(&effect)) {
-            tellOthers(instance, event::SoundRequestsReported { { sound->request } });
+                broadcast(instance, event::EnginesReportedDead { { engineKey(finding->engine, finding->startedAt) } });
+        } else if (const auto* harmless = std::get_if<effect::ShareSoundRequest>(&effect)) {
+            broadcast(instance, event::SoundRequestsReported { { harmless->request } });
         } else if (const auto* verdict = std::get_if<effect::QuarantineRequest>(&effect)) {
-            if (m_written.insert(verdict->request).second) {
+            if (m_storedVerdicts.insert(verdict->request).second) {
                 for (std::size_t each = 0; each < m_instances.size(); ++each)
-                    later(StoreDelay, each, event::QuarantineListed { verdict->request });
+                    postLater(StoreDelay, each, event::QuarantineListed { verdict->request });
             }
         } else if (const auto* started = std::get_if<effect::StartAttempt>(&effect)) {
             on(instance, *started);
         } else if (const auto* cancelled = std::get_if<effect::CancelAttempt>(&effect)) {
-            m_runs.erase({ instance, cancelled->attempt });
+            m_attempts.erase({ instance, cancelled->attempt });
         } else if (const auto* check = std::get_if<effect::CheckEngine>(&effect)) {
-            const Engine* engine = engineOf(check->engine);
+            const Engine* engine = findEngine(check->engine);
             event::EngineChecked answer;
             answer.engine = check->engine;
-            answer.answered = engine && engine->up;
-            answer.refused = !answer.answered && m_options.resets;
+            answer.answered = engine && engine->isUp;
+            answer.refused = !answer.answered && m_options.crashResetsConnections;
             answer.asked = check->startedAt;
-            later(answer.answered || answer.refused ? Step : milliseconds(80), instance, answer);
+            postLater(answer.answered || answer.refused ? TimeStep : milliseconds(80), instance, answer);
         } else if (const auto* reroute = std::get_if<effect::RerouteAttempt>(&effect)) {
-            const auto run = m_runs.find({ instance, reroute->attempt });
-            const bool accepted = run != m_runs.end() && allUp(reroute->chain);
+            const auto attempt = m_attempts.find({ instance, reroute->attempt });
+            const bool accepted = attempt != m_attempts.end() && areAllUp(reroute->chain);
             if (accepted) {
-                run->second.chain = reroute->chain;
-                run->second.silent = false;
-                run->second.nextAt = m_now + TimeToBegin;
+                attempt->second.chain = reroute->chain;
+                attempt->second.isSilent = false;
+                attempt->second.nextEventAt = m_now + TimeToBegin;
             }
-            later(Step, instance, event::RerouteAnswered { reroute->attempt, accepted });
+            postLater(TimeStep, instance, event::RerouteAnswered { reroute->attempt, accepted });
         } else if (const auto* refused = std::get_if<effect::Refuse>(&effect)) {
-            answered(instance, refused->call, refused->run == RunState::NotRun && !refused->retryAfter.count());
+            recordFailure(instance, refused->call, refused->run == RunState::NotRun && !refused->retryAfter.count());
         } else if (const auto* broken = std::get_if<effect::BreakAnswer>(&effect)) {
-            answered(instance, broken->call, false);
+            recordFailure(instance, broken->call, false);
         }
     }
 }
 
-void CrashFleet::answered(std::size_t instance, RequestId call, bool forGood)
+void CrashFleet::recordFailure(std::size_t instance, RequestId call, bool isRefusedPermanently)
 {
-    auto& open = m_instances[instance].open;
+    auto& open = m_instances[instance].openCalls;
     const auto found = open.find(call);
     if (found == open.end())
         return;
     Tally& tally = tallyOf(found->second);
-    ++(forGood ? tally.refusedForGood : tally.failed);
+    ++(isRefusedPermanently ? tally.refusedPermanently : tally.failed);
     open.erase(found);
 }
 
 void CrashFleet::on(std::size_t instance, const effect::StartAttempt& started)
 {
-    Running run;
-    run.instance = instance;
-    run.call = started.call;
-    run.chain = started.chain;
-    const auto open = m_instances[instance].open.find(started.call);
-    run.crashes = open == m_instances[instance].open.end() ? -1 : open->second;
-    run.sentAt = m_now;
-    run.next = started.resumeAfter.value_or(0) + 1;
-    Engine* engine = engineOf(started.server);
-    if (!engine || !engine->up) {
-        later(Step, instance, event::AttemptEnded { started.attempt, AttemptResult::ConnectFailed, 0, "" });
+    RunningAttempt attempt;
+    attempt.instance = instance;
+    attempt.call = started.call;
+    attempt.chain = started.chain;
+    const auto open = m_instances[instance].openCalls.find(started.call);
+    attempt.crashingNumber = open == m_instances[instance].openCalls.end() ? -1 : open->second;
+    attempt.sentAt = m_now;
+    attempt.nextEvent = started.resumeAfter.value_or(0) + 1;
+    Engine* engine = findEngine(started.server);
+    if (!engine || !engine->isUp) {
+        postLater(TimeStep, instance, event::AttemptEnded { started.attempt, AttemptResult::ConnectFailed, 0, "" });
         return;
     }
-    tallyOf(run.crashes).reached.push_back(m_now);
-    later(Step, instance, event::AttemptSent { started.attempt });
-    m_runs[{ instance, started.attempt }] = run;
+    tallyOf(attempt.crashingNumber).attemptTimes.push_back(m_now);
+    postLater(TimeStep, instance, event::AttemptSent { started.attempt });
+    m_attempts[{ instance, started.attempt }] = attempt;
 }
 
-void CrashFleet::send(std::size_t instance, int crashes)
+void CrashFleet::send(std::size_t instance, int crashingNumber)
 {
-    const RequestId id(m_nextCall++);
+    const RequestId id(m_nextCallId++);
     CallSpec spec;
     spec.host = "h.example";
     spec.path = "/draft/1";
@@ -171,153 +175,157 @@
     spec.patience = std::chrono::seconds(20);
     spec.promptTokens = 100;
     spec.maxAnswerTokens = 50;
-    if (crashes >= 0) {
+    if (crashingNumber >= 0) {
         spec.content.bytes[0] = 1;
-        spec.content.bytes[1] = static_cast<std::uint8_t>(crashes);
+        spec.content.bytes[1] = static_cast<std::uint8_t>(crashingNumber);
     } else {
-        for (std::size_t i = 0; i < sizeof(m_nextSound); ++i)
-            spec.content.bytes.at(i + 1) = static_cast<std::uint8_t>(m_nextSound >> (8 * i));
-        ++m_nextSound;
+        for (std::size_t i = 0; i < sizeof(m_nextHarmlessContent); ++i)
+            spec.content.bytes.at(i + 1) = static_cast<std::uint8_t>(m_nextHarmlessContent >> (8 * i));
+        ++m_nextHarmlessContent;
     }
-    ++tallyOf(crashes).sent;
-    m_instances[instance].open[id] = crashes;
+    ++tallyOf(crashingNumber).sent;
+    m_instances[instance].openCalls[id] = crashingNumber;
     post(instance, event::CallArrived { id, spec });
 }
 
-void CrashFleet::sendSound(std::size_t instance) { send(instance, -1); }
+void CrashFleet::sendHarmless(std::size_t instance) { send(instance, -1); }
 
-void CrashFleet::sendCrashing(std::size_t instance, std::uint8_t which) { send(instance, which); }
+void CrashFleet::sendCrashing(std::size_t instance, std::uint8_t number) { send(instance, number); }
 
-CrashFleet::Engine* CrashFleet::engineOf(const BackendId& id)
+CrashFleet::Engine* CrashFleet::findEngine(const BackendId& id)
 {
     const auto found
         = std::find_if(m_engines.begin(), m_engines.end(), [&](const Engine& each) { return each.entry.id == id; });
     return found == m_engines.end() ? nullptr : &*found;
 }
 
-bool CrashFleet::allUp(const Chain& chain)
+bool CrashFleet::areAllUp(const Chain& chain)
 {
     return std::all_of(chain.hops().begin(), chain.hops().end(), [&](const Hop& hop) {
-        const Engine* engine = engineOf(hop.backend);
-        return engine && engine->up;
+        const Engine* engine = findEngine(hop.backend);
+        return engine && engine->isUp;
     });
 }
 
 void CrashFleet::crash(Engine& engine)
 {
-    engine.up = false;
-    engine.changesAt = m_now + m_options.downFor;
-    engine.lapsesAt = m_now + Lapse;
-    std::vector<std::pair<RunKey, Running>> ended;
-    for (auto& [key, run] : m_runs) {
-        if (!run.chain.contains(engine.entry.id))
+    engine.isUp = false;
+    engine.restartsAt = m_now + m_options.restartDelay;
+    engine.entryExpiresAt = m_now + EntryLifetime;
+    std::vector<std::pair<AttemptKey, RunningAttempt>> broken;
+    for (auto& [key, attempt] : m_attempts) {
+        if (!attempt.chain.contains(engine.entry.id))
             continue;
-        const bool isFirst = run.chain.hops().front().backend == engine.entry.id;
-        if (isFirst && m_options.resets)
-            ended.emplace_back(key, run);
+        const bool isFirst = attempt.chain.hops().front().backend == engine.entry.id;
+        if (isFirst && m_options.crashResetsConnections)
+            broken.emplace_back(key, attempt);
         else
-            run.silent = true;
+            attempt.isSilent = true;
     }
-    for (const auto& [key, run] : ended) {
-        m_runs.erase(key);
-        later(Step, key.first, event::AttemptEnded { key.second, AttemptResult::Broken, run.begunAt ? 200U : 0U, "" });
+    for (const auto& [key, attempt] : broken) {
+        m_attempts.erase(key);
+        postLater(TimeStep, key.first,
+            event::AttemptEnded { key.second, AttemptResult::Broken, attempt.begunAt ? 200U : 0U, "" });
     }
 }
 
-void CrashFleet::crashGroup(std::size_t count, bool first)
+void CrashFleet::crashEngines(std::size_t count, bool isFirstHalf)
 {
-    const std::size_t begin = first ? 0 : m_options.enginesPerHalf;
+    const std::size_t begin = isFirstHalf ? 0 : m_options.enginesPerHalf;
     for (std::size_t i = begin; i < begin + count; ++i) {
-        if (m_engines.at(i).up)
+        if (m_engines.at(i).isUp)
             crash(m_engines[i]);
     }
 }
 
 void CrashFleet::restart(std::size_t instance)
 {
-    std::erase_if(m_runs, [&](const auto& each) { return each.first.first == instance; });
+    std::erase_if(m_attempts, [&](const auto& each) { return each.first.first == instance; });
     std::erase_if(m_messages, [&](const Message& message) { return message.instance == instance; });
-    for (const auto& [call, crashes] : std::exchange(m_instances[instance].open, {}))
-        ++tallyOf(crashes).failed;
-    start(instance);
+    for (const auto& [call, crashingNumber] : std::exchange(m_instances[instance].openCalls, {}))
+        ++tallyOf(crashingNumber).failed;
+    startInstance(instance);
 }
 
-void CrashFleet::cutOff(std::size_t instance, Duration until) { m_instances.at(instance).deafUntil = m_start + until; }
+void CrashFleet::isolate(std::size_t instance, Duration until)
+{
+    m_instances.at(instance).isolatedUntil = m_start + until;
+}
 
 void CrashFleet::stepEngines()
 {
     for (Engine& engine : m_engines) {
-        if (engine.up)
+        if (engine.isUp)
             continue;
-        if (engine.listed && m_now >= engine.lapsesAt) {
-            engine.listed = false;
+        if (engine.isListed && m_now >= engine.entryExpiresAt) {
+            engine.isListed = false;
             for (std::size_t i = 0; i < m_instances.size(); ++i)
                 post(i, event::ServerUnregistered { engine.entry.id });
         }
-        if (m_now < engine.changesAt)
+        if (m_now < engine.restartsAt)
             continue;
-        engine.up = engine.listed = true;
+        engine.isUp = engine.isListed = true;
         const std::string name = engine.entry.id.value().substr(0, engine.entry.id.value().find('-'));
-        engine.entry.id = BackendId(name + "-" + std::to_string(++engine.starts));
+        engine.entry.id = BackendId(name + "-" + std::to_string(++engine.startCount));
         for (std::size_t i = 0; i < m_instances.size(); ++i)
             post(i, event::ServerRegistered { engine.entry });
     }
 }
 
-void CrashFleet::stepRuns()
+void CrashFleet::stepAttempts()
 {
-    std::vector<RunKey> keys;
-    for (const auto& [key, run] : m_runs)
+    std::vector<AttemptKey> keys;
+    for (const auto& [key, attempt] : m_attempts)
         keys.push_back(key);
-    for (const RunKey& key : keys) {
-        const auto found = m_runs.find(key);
-        if (found == m_runs.end() || found->second.silent)
+    for (const AttemptKey& key : keys) {
+        const auto found = m_attempts.find(key);
+        if (found == m_attempts.end() || found->second.isSilent)
             continue;
-        Running& run = found->second;
-        if (!run.begunAt) {
-            if (m_now < run.sentAt + TimeToBegin)
+        RunningAttempt& attempt = found->second;
+        if (!attempt.begunAt) {
+            if (m_now < attempt.sentAt + TimeToBegin)
                 continue;
-            run.begunAt = m_now;
-            run.nextAt = m_now + EventInterval;
+            attempt.begunAt = m_now;
+            attempt.nextEventAt = m_now + EventInterval;
             post(key.first, event::AnswerBegun { key.second });
             continue;
         }
-        if (run.crashes >= 0) {
-            if (m_now < *run.begunAt + TimeToCrash)
+        if (attempt.crashingNumber >= 0) {
+            if (m_now < *attempt.begunAt + TimeToCrash)
                 continue;
-            tallyOf(run.crashes).crashes.push_back(m_now);
-            if (Engine* engine = engineOf(run.chain.hops().front().backend); engine && engine->up)
+            tallyOf(attempt.crashingNumber).crashTimes.push_back(m_now);
+            if (Engine* engine = findEngine(attempt.chain.hops().front().backend); engine && engine->isUp)
                 crash(*engine);
             continue;
         }
-        if (m_now < run.nextAt)
+        if (m_now < attempt.nextEventAt)
             continue;
-        run.nextAt = m_now + EventInterval;
-        const std::uint64_t next = run.next++;
-        const RequestId call = run.call;
+        attempt.nextEventAt = m_now + EventInterval;
+        const std::uint64_t next = attempt.nextEvent++;
+        const RequestId call = attempt.call;
         post(key.first, event::EventDelivered { key.second, next });
-        if (next < EventsOfStream)
+        if (next < EventsPerStream)
             continue;
-        m_runs.erase(key);
-        m_instances[key.first].open.erase(call);
-        ++m_sound.completed;
+        m_attempts.erase(key);
+        m_instances[key.first].openCalls.erase(call);
+        ++m_harmlessTally.completed;
         post(key.first, event::AttemptEnded { key.second, AttemptResult::Completed, 200, "" });
     }
 }
 
 void CrashFleet::step()
 {
-    m_now += Step;
+    m_now += TimeStep;
     std::deque<Message> due;
     std::erase_if(m_messages, [&](const Message& message) {
-        if (message.at <= m_now)
+        if (message.dueAt <= m_now)
             due.push_back(message);
-        return message.at <= m_now;
+        return message.dueAt <= m_now;
     });
     for (const Message& message : due)
         post(message.instance, message.body);
     stepEngines();
-    stepRuns();
+    stepAttempts();
     if (m_now < m_nextTick)
         return;
     m_nextTick = m_now + TickInterval;
@@ -331,14 +339,14 @@
         step();
 }
 
-std::size_t CrashFleet::reachedAfterThird(std::uint8_t which, Duration later)
+std::size_t CrashFleet::attemptsAfterThirdCrash(std::uint8_t number, Duration delay)
 {
-    const Tally& tally = m_crashing[which];
-    if (tally.crashes.size() < 3)
+    const Tally& tally = m_crashingTallies[number];
+    if (tally.crashTimes.size() < 3)
         return 0;
-    const TimePoint from = tally.crashes[2] + later;
+    const TimePoint from = tally.crashTimes[2] + delay;
     return static_cast<std::size_t>(
-        std::count_if(tally.reached.begin(), tally.reached.end(), [&](TimePoint at) { return at > from; }));
+        std::count_if(tally.attemptTimes.begin(), tally.attemptTimes.end(), [&](TimePoint at) { return at > from; }));
 }
 
 } // namespace crocusmount::relay
--- a/tests/CrashFleet.h
+++ b/tests/CrashFleet.h
@@ -11,115 +11,126 @@
 
 namespace crocusmount::relay {
 
-/// Several relay reducers before the same engines, on a virtual clock. An engine runs sound streams to their end and
-/// crashes soon after it begins a request that crashes servers; it is back seconds later, under a new id at its
-/// address.
+/// Simulates several instances, each with its own relay reducer, that share a set of engines on a virtual clock. An
+/// engine runs the streams of harmless requests to their end. An engine that begins to run a crashing request crashes
+/// soon after, and registers again seconds later with a new id at its address.
 class CrashFleet {
 public:
     struct Options {
         std::size_t instances = 6;
-        std::size_t enginesPerHalf = 8; ///< as many hold the first half of the layers, and as many the second
-        double lostMessages = 0; ///< part of what instances tell each other
-        Duration downFor = std::chrono::milliseconds(3000);
-        /// An engine's crash is seen as a reset by its callers, or only as silence.
-        bool resets = true;
+        std::size_t enginesPerHalf = 8; ///< number of engines for each half of the layers
+        double messageLossRate = 0; ///< share of the messages between instances that is lost, from 0 to 1
+        Duration restartDelay = std::chrono::milliseconds(3000); ///< from the crash of an engine to its next start
+        /// Whether the connections to a crashed engine are reset. Otherwise callers only see that it stops answering.
+        bool crashResetsConnections = true;
     };
 
-    /// What became of the requests of one kind.
+    /// Counts the outcomes of one kind of request.
     struct Tally {
         std::uint64_t sent = 0;
         std::uint64_t completed = 0;
-        std::uint64_t refusedForGood = 0; ///< answered "not run, do not come back"
-        std::uint64_t failed = 0; ///< otherwise not answered in full
-        std::vector<TimePoint> reached; ///< when it was sent to engines
-        std::vector<TimePoint> crashes;
+        std::uint64_t refusedPermanently = 0; ///< refused as not run, without a time to retry after
+        std::uint64_t failed = 0; ///< refused otherwise, broken off, or lost with the instance
+        std::vector<TimePoint> attemptTimes; ///< when attempts were sent to running engines
+        std::vector<TimePoint> crashTimes; ///< when the request crashed an engine
     };
 
     explicit CrashFleet(Options);
 
-    /// Runs until a time from the start.
+    /// Runs the simulation until a time since its start.
     void runUntil(Duration);
-    /// Has a sound stream arrive, one of its kind.
-    void sendSound(std::size_t instance);
-    /// Has a request that crashes servers arrive. @param which  its content; the same for each repeat
-    void sendCrashing(std::size_t instance, std::uint8_t which);
-    /// Ends engines in one moment. @param first  half of the layers that they hold
-    void crashGroup(std::size_t count, bool first);
-    /// An instance loses all that it knows and starts again.
+    /// Sends a harmless request with new content to an instance.
+    void sendHarmless(std::size_t instance);
+    /// Sends a crashing request to an instance.
+    /// @param number  selects the content: requests of equal number are repeats of each other
+    void sendCrashing(std::size_t instance, std::uint8_t number);
+    /// Crashes the first engines of one half of the layers at one time. Engines that are down already stay down.
+    /// @param isFirstHalf  whether the engines hold the first half of the layers, or the second
+    void crashEngines(std::size_t count, bool isFirstHalf);
+    /// Restarts an instance without any of its state.
     void restart(std::size_t instance);
-    /// What others tell an instance is lost until then.
-    void cutOff(std::size_t instance, Duration until);
-    const Tally& sound() const { return m_sound; }
-    const Tally& crashing(std::uint8_t which) { return m_crashing[which]; }
-    /// @return how often a request reached engines later than this after it had crashed the third
-    std::size_t reachedAfterThird(std::uint8_t which, Duration later);
+    /// Drops messages from other instances that would reach an instance before a time since the start.
+    void isolate(std::size_t instance, Duration until);
+    const Tally& harmlessTally() const { return m_harmlessTally; }
+    const Tally& crashingTally(std::uint8_t number) { return m_crashingTallies[number]; }
+    /// @param delay  time after the third crash at which counting begins
+    /// @return the number of attempts of a crashing request that were sent to running engines after that time
+    std::size_t attemptsAfterThirdCrash(std::uint8_t number, Duration delay);
     RelayReducer& reducer(std::size_t instance) { return *m_instances.at(instance).reducer; }
     std::size_t instances() const { return m_instances.size(); }
+    /// @return the virtual time since the start
     Duration elapsed() const { return m_now - m_start; }
     std::uint64_t random();
 
 private:
     struct Engine {
         RegisteredServer entry;
-        bool up = true;
-        bool listed = true;
-        int starts = 0;
-        TimePoint changesAt; ///< when it is up again
-        TimePoint lapsesAt; ///< when its entry ends
+        bool isUp = true;
+        bool isListed = true;
+        int startCount = 0;
+        TimePoint restartsAt; ///< when a crashed engine is up again
+        TimePoint entryExpiresAt; ///< when the entry of a crashed engine is removed from the registry
     };
-    struct Running {
+    /// An attempt that engines are running.
+    struct RunningAttempt {
         std::size_t instance = 0;
         RequestId call;
         Chain chain;
-        int crashes = -1; ///< which crashing request it is; -1: sound
+        int crashingNumber = -1; ///< number of the crashing request; -1: harmless
         TimePoint sentAt;
         std::optional<TimePoint> begunAt;
-        std::uint64_t next = 1; ///< event
-        TimePoint nextAt;
-        bool silent = false;
+        std::uint64_t nextEvent = 1; ///< sequence number of the next event of the stream
+        TimePoint nextEventAt;
+        bool isSilent = false; ///< an engine of the chain crashed without resetting the connection to the instance
     };
     struct Instance {
         std::unique_ptr<RelayReducer> reducer;
-        TimePoint deafUntil;
-        std::map<RequestId, int> open; ///< what each open call is
+        TimePoint isolatedUntil;
+        std::map<RequestId, int> openCalls; ///< crashingNumber of each call
     };
+    /// An event to be delivered to an instance.
     struct Message {
-        TimePoint at;
+        TimePoint dueAt;
         std::size_t instance;
         RelayEventBody body;
     };
-    using RunKey = std::pair<std::size_t, AttemptId>;
+    using AttemptKey = std::pair<std::size_t, AttemptId>;
 
-    void start(std::size_t instance);
+    void startInstance(std::size_t instance);
     void post(std::size_t instance, RelayEventBody);
-    void later(Duration, std::size_t instance, RelayEventBody);
-    void tellOthers(std::size_t instance, const RelayEventBody&);
+    void postLater(Duration delay, std::size_t instance, RelayEventBody);
+    /// Sends an event to all other instances.
+    void broadcast(std::size_t instance, const RelayEventBody&);
     void apply(std::size_t instance, const RelayEffects&);
     void on(std::size_t instance, const effect::StartAttempt&);
-    void answered(std::size_t instance, RequestId, bool forGood);
-    void send(std::size_t instance, int crashes);
+    /// Counts a call that ended without a complete answer.
+    void recordFailure(std::size_t instance, RequestId, bool isRefusedPermanently);
+    void send(std::size_t instance, int crashingNumber);
     void crash(Engine&);
     void step();
     void stepEngines();
-    void stepRuns();
-    Engine* engineOf(const BackendId&);
-    bool allUp(const Chain&);
-    Tally& tallyOf(int crashes) { return crashes < 0 ? m_sound : m_crashing[static_cast<std::uint8_t>(crashes)]; }
+    void stepAttempts();
+    Engine* findEngine(const BackendId&);
+    bool areAllUp(const Chain&);
+    Tally& tallyOf(int crashingNumber)
+    {
+        return crashingNumber < 0 ? m_harmlessTally : m_crashingTallies[static_cast<std::uint8_t>(crashingNumber)];
+    }
 
     Options m_options;
-    std::set<RequestIdentity> m_written; ///< verdicts in the store
+    std::set<RequestIdentity> m_storedVerdicts; ///< quarantined requests in the store
     std::vector<Instance> m_instances;
     std::vector<Engine> m_engines;
-    std::map<RunKey, Running> m_runs;
+    std::map<AttemptKey, RunningAttempt> m_attempts;
     std::deque<Message> m_messages;
-    Tally m_sound;
-    std::map<std::uint8_t, Tally> m_crashing;
+    Tally m_harmlessTally;
+    std::map<std::uint8_t, Tally> m_crashingTallies; ///< by number of the crashing request
     TimePoint m_start = timePoint(1000000);
     TimePoint m_now = m_start;
     TimePoint m_nextTick = m_start;
-    std::uint64_t m_random = 7;
-    std::uint64_t m_nextCall = 1;
-    std::uint64_t m_nextSound = 1;
+    std::uint64_t m_randomState = 7;
+    std::uint64_t m_nextCallId = 1;
+    std::uint64_t m_nextHarmlessContent = 1;
 };
 
 } // namespace crocusmount::relay
--- a/tests/CrashingRequestTest.cpp
+++ b/tests/CrashingRequestTest.cpp
@@ -11,27 +11,30 @@
 
 namespace {
 
-/// How long machines must have been calm before a promise with a bound in time holds.
-constexpr Duration StableWindow = seconds(3);
-/// Retries that may still be under way when the third crash is known everywhere.
-constexpr std::size_t AllowedRetries = 3;
-constexpr std::uint8_t Requests = 3;
+/// Maximum time from the third crash of a request until no instance sends the request to an engine any more.
+constexpr Duration MaxDetectionTime = seconds(3);
+/// Maximum number of attempts that may still be sent after that time, for retries under way.
+constexpr std::size_t MaxLateAttempts = 3;
+/// Number of different crashing requests that callers send.
+constexpr std::uint8_t CrashingRequests = 3;
 
-/// Callers send some requests that crash servers again and again, at any instance, among sound streams.
-void playDay(CrashFleet& fleet, Duration until, const std::function<void(Duration)>& disturb = {})
+/// Sends harmless requests, and now and then a crashing one, to random instances.
+/// @param until    simulated time to run, from the start of the fleet
+/// @param disturb  called in each step with the time since the start
+void simulateCallers(CrashFleet& fleet, Duration until, const std::function<void(Duration)>& disturb = {})
 {
-    Duration nextSound = milliseconds(0);
+    Duration nextHarmless = milliseconds(0);
     Duration nextCrashing = seconds(2);
-    std::uint8_t which = 0;
+    std::uint8_t number = 0;
     while (fleet.elapsed() < until) {
         const Duration now = fleet.elapsed();
-        if (now >= nextSound) {
-            fleet.sendSound(fleet.random() % fleet.instances());
-            nextSound = now + milliseconds(20);
+        if (now >= nextHarmless) {
+            fleet.sendHarmless(fleet.random() % fleet.instances());
+            nextHarmless = now + milliseconds(20);
         }
         if (now >= nextCrashing) {
-            fleet.sendCrashing(fleet.random() % fleet.instances(), which);
-            which = static_cast<std::uint8_t>((which + 1) % Requests);
+            fleet.sendCrashing(fleet.random() % fleet.instances(), number);
+            number = static_cast<std::uint8_t>((number + 1) % CrashingRequests);
             nextCrashing = now + milliseconds(700);
         }
         if (disturb)
@@ -44,28 +47,23 @@
 
 TEST_GROUP(CrashingRequest) {};
 
-// Callers sent a request under which each server crashed that began to run it again and again, at any instance, and
-// each time it was passed on: 22 servers of 38 had ended under it after 76 s, and a third of all streams went
-// unanswered, as each crash took along what else its server ran. No instance remembered anything of a call that it had
-// answered.
-//
-//     46.3132 front-hall-a-2 "attempt" "server":"i-65f8b64305" "waited_ms":175
-//     46.4979 front-hall-a-2 "attempt_failed" "result":"broken","status":200
-//     47.3161 front-hall-a-2 "answer" "reason":"no_capacity","run":"may_have_run"
+// Guards against a crashing request that is passed on to one server after another. Callers repeated such a request at
+// different instances, and no instance kept any record of a call after answering it. After 76 s, 22 of 38 servers had
+// crashed, and a third of all streams went unanswered, because each crash also ended the other streams of its server.
 TEST(CrashingRequest, IsSoonSentToNoServer)
 {
     CrashFleet fleet({});
-    playDay(fleet, seconds(30));
-    for (std::uint8_t which = 0; which < Requests; ++which) {
-        CHECK_TRUE(fleet.crashing(which).sent >= 10);
-        CHECK_TRUE(fleet.crashing(which).crashes.size() >= 3);
-        CHECK_TRUE(fleet.reachedAfterThird(which, StableWindow) <= AllowedRetries);
+    simulateCallers(fleet, seconds(30));
+    for (std::uint8_t number = 0; number < CrashingRequests; ++number) {
+        CHECK_TRUE(fleet.crashingTally(number).sent >= 10);
+        CHECK_TRUE(fleet.crashingTally(number).crashTimes.size() >= 3);
+        CHECK_TRUE(fleet.attemptsAfterThirdCrash(number, MaxDetectionTime) <= MaxLateAttempts);
     }
 }
 
-// The same with what else befalls a fleet at that time. Sound streams are not to be taken for the cause of what ends
-// beside them, and those that are refused for good lose their answer.
-TEST(CrashingRequest, IsFoundBesideOtherTrouble)
+// Guards against crashing requests that are not detected while the fleet has other failures, and against harmless
+// requests that are blamed for these failures and refused permanently.
+TEST(CrashingRequest, IsDetectedDuringOtherFailures)
 {
     using Disturb = std::function<void(CrashFleet&, Duration)>;
     const auto every = [](Duration now, Duration interval) { return now.count() % interval.count() == 0; };
@@ -74,29 +72,29 @@
         CrashFleet::Options options;
         Disturb disturb;
     } cases[] = {
-        { "datagrams are lost", { .lostMessages = 0.3 }, {} },
-        { "one instance alone", { .instances = 1 }, {} },
+        { "datagrams are lost", { .messageLossRate = 0.3 }, {} },
+        { "a single instance", { .instances = 1 }, {} },
         { "many instances", { .instances = 40 }, {} },
         { "few engines", { .enginesPerHalf = 3 }, {} },
         { "few engines, many instances", { .instances = 40, .enginesPerHalf = 3 }, {} },
-        { "two engines of a kind", { .enginesPerHalf = 2, .downFor = milliseconds(1000) }, {} },
-        { "crashes are seen as silence", { .resets = false }, {} },
-        { "groups of engines are lost", {},
+        { "two engines for each half of the layers", { .enginesPerHalf = 2, .restartDelay = milliseconds(1000) }, {} },
+        { "engines that crash fall silent without a reset", { .crashResetsConnections = false }, {} },
+        { "groups of engines crash at one time", {},
             [&](CrashFleet& fleet, Duration now) {
                 if (every(now, seconds(7)))
-                    fleet.crashGroup(4, every(now, seconds(14)));
+                    fleet.crashEngines(4, every(now, seconds(14)));
             } },
-        { "an instance hears nobody for some time", {},
+        { "an instance receives no messages for some time", {},
             [&](CrashFleet& fleet, Duration now) {
                 if (every(now, seconds(9)))
-                    fleet.cutOff(fleet.random() % fleet.instances(), now + seconds(2));
+                    fleet.isolate(fleet.random() % fleet.instances(), now + seconds(2));
             } },
-        { "instances start again in turn", {},
+        { "instances restart in turn", {},
             [&](CrashFleet& fleet, Duration now) {
                 if (every(now, seconds(2)))
                     fleet.restart(static_cast<std::size_t>(now / seconds(2)) % fleet.instances());
             } },
-        { "all instances start again at once", {},
+        { "all instances restart at one time", {},
             [&](CrashFleet& fleet, Duration now) {
                 for (std::size_t i = 0; i < fleet.instances() && now == seconds(12); ++i)
                     fleet.restart(i);
@@ -104,106 +102,109 @@
     };
     for (const auto& each : cases) {
         CrashFleet fleet(each.options);
-        playDay(fleet, seconds(30), [&](Duration now) {
+        simulateCallers(fleet, seconds(30), [&](Duration now) {
             if (each.disturb)
                 each.disturb(fleet, now);
         });
-        for (std::uint8_t which = 0; which < Requests; ++which) {
-            CHECK_TRUE_TEXT(fleet.crashing(which).crashes.size() >= 3, each.name);
-            CHECK_TRUE_TEXT(fleet.reachedAfterThird(which, StableWindow) <= AllowedRetries, each.name);
+        for (std::uint8_t number = 0; number < CrashingRequests; ++number) {
+            CHECK_TRUE_TEXT(fleet.crashingTally(number).crashTimes.size() >= 3, each.name);
+            CHECK_TRUE_TEXT(fleet.attemptsAfterThirdCrash(number, MaxDetectionTime) <= MaxLateAttempts, each.name);
         }
-        CHECK_EQUAL_TEXT(0U, fleet.sound().refusedForGood, each.name);
+        CHECK_EQUAL_TEXT(0U, fleet.harmlessTally().refusedPermanently, each.name);
     }
 }
 
-// A share of the calls crashes the engine that runs it. Once those requests are known, sound streams are lost to them
-// no more: they end as on a day without.
+// Guards against crashing requests that keep ending the streams of harmless requests after they have been detected.
 TEST(CrashingRequest, CostsSoundStreamsOnlyWhatEndsBeforeItIsKnown)
 {
     constexpr Duration ArrivalGap = milliseconds(20);
-    constexpr Duration EnginesBack = seconds(3);
+    constexpr Duration RestartTime = seconds(3);
     const struct {
         const char* name;
         Duration begin;
-        std::uint64_t oneIn; ///< calls; one of them crashes its engine
+        std::uint64_t callsPerCrashing; ///< one of this many calls is a crashing request, on average
     } cases[] = { { "few, early", seconds(1), 33 }, { "few, late", seconds(8), 33 }, { "many", seconds(3), 10 } };
     for (const auto& each : cases) {
         CrashFleet fleet({});
-        std::uint64_t failedThen = 0;
-        std::optional<Duration> knownAt; // when each of the requests had crashed three engines
+        std::uint64_t failedBeforeDetection = 0;
+        std::optional<Duration> detectableAt; ///< when each of the crashing requests had crashed three engines
         while (fleet.elapsed() < each.begin + seconds(30)) {
             const Duration now = fleet.elapsed();
-            bool isKnown = true;
-            for (std::uint8_t which = 0; which < Requests; ++which)
-                isKnown = isKnown && fleet.crashing(which).crashes.size() >= 3;
-            if (isKnown && !knownAt)
-                knownAt = now;
+            bool isDetectable = true;
+            for (std::uint8_t number = 0; number < CrashingRequests; ++number)
+                isDetectable = isDetectable && fleet.crashingTally(number).crashTimes.size() >= 3;
+            if (isDetectable && !detectableAt)
+                detectableAt = now;
             const std::size_t instance = fleet.random() % fleet.instances();
-            if (now >= each.begin && fleet.random() % each.oneIn == 0)
-                fleet.sendCrashing(instance, static_cast<std::uint8_t>(fleet.random() % Requests));
+            if (now >= each.begin && fleet.random() % each.callsPerCrashing == 0)
+                fleet.sendCrashing(instance, static_cast<std::uint8_t>(fleet.random() % CrashingRequests));
             else
-                fleet.sendSound(instance);
-            if (!knownAt || now < *knownAt + EnginesBack + StableWindow)
-                failedThen = fleet.sound().failed;
+                fleet.sendHarmless(instance);
+            if (!detectableAt || now < *detectableAt + RestartTime + MaxDetectionTime)
+                failedBeforeDetection = fleet.harmlessTally().failed;
             fleet.runUntil(now + ArrivalGap);
         }
-        CHECK_TRUE_TEXT(knownAt && *knownAt < each.begin + seconds(20), each.name);
-        CHECK_EQUAL_TEXT(failedThen, fleet.sound().failed, each.name);
-        CHECK_EQUAL_TEXT(0U, fleet.sound().refusedForGood, each.name);
-        CHECK_TRUE_TEXT(fleet.sound().completed > 1000, each.name);
+        CHECK_TRUE_TEXT(detectableAt && *detectableAt < each.begin + seconds(20), each.name);
+        CHECK_EQUAL_TEXT(failedBeforeDetection, fleet.harmlessTally().failed, each.name);
+        CHECK_EQUAL_TEXT(0U, fleet.harmlessTally().refusedPermanently, each.name);
+        CHECK_TRUE_TEXT(fleet.harmlessTally().completed > 1000, each.name);
     }
 }
 
-// Engines that end together, or one by one with nothing to blame, are held against no request.
+// Guards against harmless requests that are quarantined because engines crash, in groups or one at a time, for reasons
+// other than a request.
 TEST(CrashingRequest, NoSoundRequestIsBlamedForTheLossOfEngines)
 {
     const struct {
         const char* name;
         std::size_t count;
         Duration interval;
-        Duration spacing = milliseconds(0); ///< between the ends of one group; 0: all at once
-    } cases[] = { { "one at a time", 1, milliseconds(900) }, { "three at a time", 3, milliseconds(2500) },
-        { "half of one kind", 4, seconds(4) }, { "nearly all of one kind", 7, seconds(6) },
-        { "half of one kind, 60 ms apart", 4, seconds(4), milliseconds(60) },
-        { "nearly all of one kind, 140 ms apart", 7, seconds(6), milliseconds(140) } };
+        Duration spacing = milliseconds(0); ///< between the crashes of one group; 0: all at one time
+    } cases[]
+        = { { "one engine at a time", 1, milliseconds(900) }, { "three engines at a time", 3, milliseconds(2500) },
+              { "half of the engines of one half of the layers", 4, seconds(4) },
+              { "nearly all engines of one half of the layers", 7, seconds(6) },
+              { "half of the engines of one half of the layers, 60 ms apart", 4, seconds(4), milliseconds(60) },
+              { "nearly all engines of one half of the layers, 140 ms apart", 7, seconds(6), milliseconds(140) } };
     for (const auto& each : cases) {
         CrashFleet fleet({});
-        Duration next = seconds(2);
-        bool first = true;
-        std::size_t endedCount = 0;
+        Duration nextCrash = seconds(2);
+        bool isFirstHalf = true;
+        std::size_t crashedCount = 0; ///< crashed engines of the current group
         while (fleet.elapsed() < seconds(60)) {
             const Duration now = fleet.elapsed();
             for (int i = 0; i < 2; ++i)
-                fleet.sendSound(fleet.random() % fleet.instances());
-            if (now >= next) {
-                endedCount = each.spacing.count() ? endedCount + 1 : each.count;
-                fleet.crashGroup(endedCount, first);
-                const bool isGroupComplete = endedCount == each.count;
-                next = now + (isGroupComplete ? each.interval : each.spacing);
+                fleet.sendHarmless(fleet.random() % fleet.instances());
+            if (now >= nextCrash) {
+                crashedCount = each.spacing.count() ? crashedCount + 1 : each.count;
+                fleet.crashEngines(crashedCount, isFirstHalf);
+                const bool isGroupComplete = crashedCount == each.count;
+                nextCrash = now + (isGroupComplete ? each.interval : each.spacing);
                 if (isGroupComplete) {
-                    endedCount = 0;
-                    first = !first;
+                    crashedCount = 0;
+                    isFirstHalf = !isFirstHalf;
                 }
             }
             fleet.runUntil(now + milliseconds(20));
         }
-        CHECK_TRUE_TEXT(fleet.sound().completed > 1000, each.name);
-        CHECK_EQUAL_TEXT(0U, fleet.sound().refusedForGood, each.name);
+        CHECK_TRUE_TEXT(fleet.harmlessTally().completed > 1000, each.name);
+        CHECK_EQUAL_TEXT(0U, fleet.harmlessTally().refusedPermanently, each.name);
     }
 }
 
-// A popular request is beginning at all plain servers as they end in one moment. It is not the cause.
-TEST(CrashingRequest, APopularRequestIsNotBlamedWhereAllServersOfAServiceEnd)
+// Guards against a popular request that is quarantined because it is just beginning to run on all servers of a plain
+// service when these end together.
+TEST(CrashingRequest, APopularRequestIsNotQuarantinedWhenAllServersOfAServiceEnd)
 {
     RelayHarness harness;
-    std::uint64_t next = 1000;
+    std::uint64_t nextId = 1000;
     const auto callPopular = [&] {
         CallSpec spec;
         spec.host = "h.example";
         spec.path = "/look/1";
         spec.key = "key";
         spec.content.bytes[0] = 9;
-        harness.send(relay::event::CallArrived { RequestId(next++), spec });
+        harness.send(relay::event::CallArrived { RequestId(nextId++), spec });
         return harness.last<relay::effect::StartAttempt>();
     };
     harness.send(relay::event::ServerRegistered { RelayHarness::plain("z") });
--- a/tests/FairQueueTest.cpp
+++ b/tests/FairQueueTest.cpp
@@ -7,15 +7,16 @@
 {
     FairQueue queue;
 
-    void fill(const char* workspace, std::uint32_t weight, int priority, std::uint64_t first, int count)
+    /// Adds requests with consecutive ids.
+    void fill(const char* workspace, std::uint32_t weight, int priority, std::uint64_t firstId, int count)
     {
         for (int i = 0; i < count; ++i)
             queue.push(
-                WorkspaceId(workspace), weight, priority, { RequestId(first + static_cast<std::uint64_t>(i)), 1 });
+                WorkspaceId(workspace), weight, priority, { RequestId(firstId + static_cast<std::uint64_t>(i)), 1 });
     }
 };
 
-TEST(FairQueue, SharesByWeightAndServesPriorityFirst)
+TEST(FairQueue, HigherPriorityGoesFirstAndWorkspacesShareByWeight)
 {
     fill("large", 3, 0, 100, 40);
     fill("small", 1, 0, 200, 40);
@@ -27,17 +28,17 @@
     CHECK_EQUAL(15, large);
 }
 
-TEST(FairQueue, AWorkspaceThatComesLateDoesNotWaitForTheBacklog)
+TEST(FairQueue, ANewWorkspaceDoesNotWaitForTheBacklogOfAnother)
 {
     fill("large", 1, 0, 100, 50);
     for (int i = 0; i < 10; ++i)
         queue.pop();
     fill("small", 1, 0, 200, 1);
-    const bool soon = queue.pop()->value() == 200 || queue.pop()->value() == 200;
-    CHECK_TRUE(soon);
+    const bool isServedSoon = queue.pop()->value() == 200 || queue.pop()->value() == 200;
+    CHECK_TRUE(isServedSoon);
 }
 
-TEST(FairQueue, ErasedRequestsAreGone)
+TEST(FairQueue, ErasedRequestsAreNotServed)
 {
     fill("a", 1, 0, 1, 3);
     CHECK_TRUE(queue.erase(RequestId(2)));
--- a/tests/LoadExchangeTest.cpp
+++ b/tests/LoadExchangeTest.cpp
@@ -10,74 +10,81 @@
 
 namespace {
 
+/// @return an instance whose address equals its id
 LoadPeer peer(const std::string& id, const std::string& dataCentre)
 {
     return { InstanceId(id), DataCentreId(dataCentre), id };
 }
 
-/// Instances that exchange reports over a network of which single links may be cut.
-class Exchange {
+/// Simulates the exchange between instances over a network from which instances can be cut off.
+class LoadNetwork {
 public:
-    explicit Exchange(std::vector<LoadPeer> peers, std::size_t bytesPerRound = 0)
+    explicit LoadNetwork(std::vector<LoadPeer> peers, std::size_t bytesPerRound = 0)
         : m_peers(std::move(peers))
     {
         for (const LoadPeer& each : m_peers)
-            m_nodes.emplace(each.id.value(), LoadExchange(each, bytesPerRound));
-        meet();
+            m_exchanges.emplace(each.id.value(), LoadExchange(each, bytesPerRound));
+        updatePeers();
     }
 
-    /// Cuts an instance off; it stays listed.
-    void stop(const std::string& id) { m_stopped.push_back(id); }
+    /// Stops an instance from sending and receiving. The instance stays listed.
+    void cutOff(const std::string& id) { m_cutOffIds.push_back(id); }
+    /// Removes an instance from the list of peers.
     void unlist(const std::string& id)
     {
         std::erase_if(m_peers, [&](const LoadPeer& each) { return each.id.value() == id; });
-        meet();
+        updatePeers();
     }
 
-    void list(const LoadPeer& added)
+    /// Starts and lists another instance.
+    void list(const LoadPeer& newPeer)
     {
-        m_peers.push_back(added);
-        m_nodes.emplace(added.id.value(), LoadExchange(added));
-        meet();
+        m_peers.push_back(newPeer);
+        m_exchanges.emplace(newPeer.id.value(), LoadExchange(newPeer));
+        updatePeers();
+    }
+    /// @return keys of the instances that are silent as far as an instance knows
+    std::set<std::uint64_t> silentInstancesKnownTo(const std::string& id)
+    {
+        return m_exchanges.at(id).silentInstances(m_now);
     }
-    std::set<std::uint64_t> silentTo(const std::string& id) { return m_nodes.at(id).silentInstances(m_now); }
 
-    /// One round of all, some milliseconds apart, with each instance's own load on one engine.
-    void round(const std::map<std::string, EngineLoad>& own)
+    /// Runs one round of all instances, with each instance's own load on one engine.
+    void runRound(const std::map<std::string, EngineLoad>& own)
     {
         std::map<std::string, std::vector<EngineLoad>> loads;
         for (const auto& [id, load] : own)
             loads[id].push_back(load);
-        roundWithLoads(loads);
+        runRoundWithLoads(loads);
     }
 
-    /// Runs one round with each instance's own loads on any number of engines.
-    void roundWithLoads(const std::map<std::string, std::vector<EngineLoad>>& own)
+    /// Runs one round of all instances, with each instance's own loads on any number of engines.
+    void runRoundWithLoads(const std::map<std::string, std::vector<EngineLoad>>& own)
     {
         m_now += milliseconds(150);
         m_sentBytes.clear();
         m_receivedBytes.clear();
-        for (auto& [id, node] : m_nodes) {
-            if (isStopped(id))
+        for (auto& [id, exchange] : m_exchanges) {
+            if (isCutOff(id))
                 continue;
             const auto loads = own.find(id);
             for (const auto& outgoing :
-                node.makeRound(loads == own.end() ? std::vector<EngineLoad>() : loads->second, m_now)) {
-                ++m_datagrams;
+                exchange.makeRound(loads == own.end() ? std::vector<EngineLoad>() : loads->second, m_now)) {
+                ++m_datagramCount;
                 const std::size_t bytes
                     = encode(PeerDatagram { outgoing.report, std::nullopt, std::nullopt, {} }).size();
                 m_sentBytes[id] += bytes;
                 m_receivedBytes[outgoing.address] += bytes;
-                if (!isStopped(outgoing.address))
-                    m_nodes.at(outgoing.address).take(outgoing.report, m_now);
+                if (!isCutOff(outgoing.address))
+                    m_exchanges.at(outgoing.address).take(outgoing.report, m_now);
             }
         }
     }
 
-    /// @return what an instance believes that the others hold on an engine; below zero: it does not know
-    double othersOn(const std::string& id, std::uint64_t engine)
+    /// @return the token layers of other instances on an engine as far as an instance knows; -1 if it knows no loads
+    double othersTokenLayers(const std::string& id, std::uint64_t engine)
     {
-        const auto loads = m_nodes.at(id).others(m_now);
+        const auto loads = m_exchanges.at(id).others(m_now);
         if (!loads)
             return -1;
         const auto found = loads->find(engine);
@@ -85,8 +92,9 @@
     }
 
     TimePoint now() const { return m_now; }
-    LoadExchange& node(const std::string& id) { return m_nodes.at(id); }
-    std::size_t datagrams() const { return m_datagrams; }
+    LoadExchange& exchange(const std::string& id) { return m_exchanges.at(id); }
+    /// @return the number of datagrams sent so far
+    std::size_t datagramCount() const { return m_datagramCount; }
     /// @return the maximum bytes of reports that one instance sent, or received, in the last round
     std::size_t maxSentBytes() const { return maxBytes(m_sentBytes); }
     std::size_t maxReceivedBytes() const { return maxBytes(m_receivedBytes); }
@@ -100,28 +108,29 @@
         return max;
     }
 
-    bool isStopped(const std::string& id) const
+    bool isCutOff(const std::string& id) const
     {
-        return std::find(m_stopped.begin(), m_stopped.end(), id) != m_stopped.end();
+        return std::find(m_cutOffIds.begin(), m_cutOffIds.end(), id) != m_cutOffIds.end();
     }
 
-    void meet()
+    /// Tells each instance the current list of the others.
+    void updatePeers()
     {
-        for (auto& [id, node] : m_nodes) {
+        for (auto& [id, exchange] : m_exchanges) {
             std::vector<LoadPeer> others;
             for (const LoadPeer& each : m_peers) {
                 if (each.id.value() != id)
                     others.push_back(each);
             }
-            node.setPeers(std::move(others));
+            exchange.setPeers(std::move(others));
         }
     }
 
     std::vector<LoadPeer> m_peers;
-    std::map<std::string, LoadExchange> m_nodes;
-    std::vector<std::string> m_stopped;
+    std::map<std::string, LoadExchange> m_exchanges;
+    std::vector<std::string> m_cutOffIds;
     TimePoint m_now = timePoint(1000000);
-    std::size_t m_datagrams = 0;
+    std::size_t m_datagramCount = 0;
     std::map<std::string, std::size_t> m_sentBytes;
     std::map<std::string, std::size_t> m_receivedBytes;
 };
@@ -138,140 +147,141 @@
 
 TEST(LoadExchange, EachInstanceLearnsWhatAllOthersHold)
 {
-    Exchange exchange(sevenPeers());
+    LoadNetwork network(sevenPeers());
     const std::map<std::string, EngineLoad> own { { "a1", { 7, 1, 1 } }, { "a4", { 7, 10, 1 } },
         { "b2", { 7, 100, 1 } }, { "c1", { 7, 1000, 1 } } };
     for (int i = 0; i < 4; ++i)
-        exchange.round(own);
+        network.runRound(own);
     const struct {
         const char* id;
         double expected;
     } cases[] = { { "a1", 1110 }, { "a2", 1111 }, { "a4", 1101 }, { "b1", 1111 }, { "b2", 1011 }, { "c1", 111 } };
     for (const auto& each : cases)
-        DOUBLES_EQUAL_TEXT(each.expected, exchange.othersOn(each.id, 7), 0.01, each.id);
+        DOUBLES_EQUAL_TEXT(each.expected, network.othersTokenLayers(each.id, 7), 0.01, each.id);
 }
 
-TEST(LoadExchange, ACollectorThatStopsIsMissedByNobody)
+TEST(LoadExchange, SumsStayKnownWhenCollectorsStop)
 {
-    Exchange exchange(sevenPeers());
+    LoadNetwork network(sevenPeers());
     const std::map<std::string, EngineLoad> own { { "a4", { 7, 10, 1 } }, { "b2", { 7, 100, 1 } } };
     for (int i = 0; i < 4; ++i)
-        exchange.round(own);
-    exchange.stop("a1");
-    exchange.stop("b1");
+        network.runRound(own);
+    network.cutOff("a1");
+    network.cutOff("b1");
     for (int i = 0; i < 10; ++i)
-        exchange.round(own);
-    exchange.unlist("a1");
-    exchange.unlist("b1");
-    DOUBLES_EQUAL(110, exchange.othersOn("a3", 7), 0.01);
-    DOUBLES_EQUAL(110, exchange.othersOn("c1", 7), 0.01);
+        network.runRound(own);
+    network.unlist("a1");
+    network.unlist("b1");
+    DOUBLES_EQUAL(110, network.othersTokenLayers("a3", 7), 0.01);
+    DOUBLES_EQUAL(110, network.othersTokenLayers("c1", 7), 0.01);
 }
 
-// skanas-profili-grown scale-2: a third of the instances was cut off from the others and went on serving. Their load
-// was missing, full engines looked a quarter full, and these turned 1,700 calls away.
-TEST(LoadExchange, ListedInstancesThatAreNotHeardCountAsMuchAsTheOthers)
+// Guards against loads that are underestimated because of silent instances. A third of the instances was cut off from
+// the others and went on serving. Without their load, full engines looked a quarter full and rejected 1,700 calls.
+TEST(LoadExchange, SilentInstancesCountAsTheAverageOfTheOthers)
 {
-    Exchange exchange(sevenPeers());
+    LoadNetwork network(sevenPeers());
     std::map<std::string, EngineLoad> own;
     for (const LoadPeer& each : sevenPeers())
         own[each.id.value()] = { 7, 10, 1 };
     for (int i = 0; i < 4; ++i)
-        exchange.round(own);
-    DOUBLES_EQUAL(60, exchange.othersOn("a3", 7), 0.01);
-    exchange.stop("b1");
-    exchange.stop("b2");
-    exchange.stop("a4");
+        network.runRound(own);
+    DOUBLES_EQUAL(60, network.othersTokenLayers("a3", 7), 0.01);
+    network.cutOff("b1");
+    network.cutOff("b2");
+    network.cutOff("a4");
     for (int i = 0; i < 10; ++i)
-        exchange.round(own);
-    DOUBLES_EQUAL(60, exchange.othersOn("a3", 7), 0.01);
+        network.runRound(own);
+    DOUBLES_EQUAL(60, network.othersTokenLayers("a3", 7), 0.01);
 }
 
-TEST(LoadExchange, WithoutFreshSumsNothingIsKnown)
+TEST(LoadExchange, LoadsAreUnknownWithoutFreshSums)
 {
-    Exchange exchange(sevenPeers());
-    DOUBLES_EQUAL(-1, exchange.othersOn("a3", 7), 0.01);
+    LoadNetwork network(sevenPeers());
+    DOUBLES_EQUAL(-1, network.othersTokenLayers("a3", 7), 0.01);
     for (int i = 0; i < 4; ++i)
-        exchange.round({});
-    DOUBLES_EQUAL(0, exchange.othersOn("a3", 7), 0.01);
-    exchange.stop("a1");
-    exchange.stop("a2");
+        network.runRound({});
+    DOUBLES_EQUAL(0, network.othersTokenLayers("a3", 7), 0.01);
+    network.cutOff("a1");
+    network.cutOff("a2");
     for (int i = 0; i < 10; ++i)
-        exchange.round({});
-    DOUBLES_EQUAL(-1, exchange.othersOn("a3", 7), 0.01);
+        network.runRound({});
+    DOUBLES_EQUAL(-1, network.othersTokenLayers("a3", 7), 0.01);
 }
 
-// An entry outlives its instance by the five seconds of a lease; callers were sent to dead instances for two.
-TEST(LoadExchange, AnInstanceThatFallsSilentIsMissedEverywhereWithinTwoSeconds)
+// Guards against callers that are sent to a dead instance, which happened for two seconds after each death. The entry
+// of an instance stays listed until its lease of five seconds ends.
+TEST(LoadExchange, ASilentInstanceIsKnownInAllDataCentresWithinTwoSeconds)
 {
     const struct {
         const char* name;
-        std::vector<const char*> stopped;
-        const char* asked;
-        std::size_t missed;
+        std::vector<const char*> cutOff;
+        const char* observer;
+        std::size_t silentCount;
     } cases[] = {
         { "none", {}, "a3", 0 },
-        { "a member, by its own data centre", { "a4" }, "a3", 1 },
-        { "a member, by another data centre", { "a4" }, "b1", 1 },
+        { "an instance, seen from its own data centre", { "a4" }, "a3", 1 },
+        { "an instance, seen from another data centre", { "a4" }, "b1", 1 },
         { "a collector", { "a1" }, "c1", 1 },
-        { "two data centres' members", { "a4", "b2" }, "a3", 2 },
-        { "a whole data centre is cut off: nobody there tells who is silent", { "b1", "b2" }, "a3", 0 },
-        { "the asked one is cut off: nothing is known", { "a1", "a2", "a4" }, "a3", 0 },
+        { "instances of two data centres", { "a4", "b2" }, "a3", 2 },
+        { "a whole data centre is cut off, so no collector reports its silence", { "b1", "b2" }, "a3", 0 },
+        { "the observer is cut off and has no fresh sum", { "a1", "a2", "a4" }, "a3", 0 },
     };
-    constexpr int RoundsOfTwoSeconds = 14;
+    constexpr int RoundsInTwoSeconds = 14;
     for (const auto& each : cases) {
-        Exchange exchange(sevenPeers());
+        LoadNetwork network(sevenPeers());
         for (int i = 0; i < 4; ++i)
-            exchange.round({});
-        for (const char* id : each.stopped)
-            exchange.stop(id);
-        for (int i = 0; i < RoundsOfTwoSeconds; ++i)
-            exchange.round({});
-        const std::set<std::uint64_t> silent = exchange.silentTo(each.asked);
-        CHECK_EQUAL_TEXT(each.missed, silent.size(), each.name);
+            network.runRound({});
+        for (const char* id : each.cutOff)
+            network.cutOff(id);
+        for (int i = 0; i < RoundsInTwoSeconds; ++i)
+            network.runRound({});
+        const std::set<std::uint64_t> silent = network.silentInstancesKnownTo(each.observer);
+        CHECK_EQUAL_TEXT(each.silentCount, silent.size(), each.name);
         for (const std::uint64_t key : silent) {
-            CHECK_TRUE_TEXT(std::any_of(each.stopped.begin(), each.stopped.end(),
+            CHECK_TRUE_TEXT(std::any_of(each.cutOff.begin(), each.cutOff.end(),
                                 [&](const char* id) { return instanceKey(InstanceId(id)) == key; }),
                 each.name);
         }
     }
 }
 
-TEST(LoadExchange, AnInstanceThatHasJustStartedIsNotMissed)
+TEST(LoadExchange, StartingAnInstanceMakesNoInstanceSilent)
 {
-    Exchange exchange(sevenPeers());
+    LoadNetwork network(sevenPeers());
     for (int i = 0; i < 20; ++i)
-        exchange.round({});
-    exchange.list(peer("a0", "a")); // It comes first, so it collects from now on, and has heard nobody yet.
+        network.runRound({});
+    network.list(peer("a0", "a")); // Has the lowest id, so it becomes a collector, and has received no reports yet.
     for (int i = 0; i < 20; ++i) {
-        exchange.round({});
-        CHECK_EQUAL(0U, exchange.silentTo("a3").size());
-        CHECK_EQUAL(0U, exchange.silentTo("a0").size());
+        network.runRound({});
+        CHECK_EQUAL(0U, network.silentInstancesKnownTo("a3").size());
+        CHECK_EQUAL(0U, network.silentInstancesKnownTo("a0").size());
     }
 }
 
-TEST(LoadExchange, AStoppedInstanceNoLongerCounts)
+TEST(LoadExchange, AnUnlistedInstanceNoLongerCounts)
 {
-    Exchange exchange(sevenPeers());
+    LoadNetwork network(sevenPeers());
     for (int i = 0; i < 4; ++i)
-        exchange.round({ { "a4", { 7, 10, 1 } } });
-    exchange.stop("a4");
-    exchange.unlist("a4");
+        network.runRound({ { "a4", { 7, 10, 1 } } });
+    network.cutOff("a4");
+    network.unlist("a4");
     for (int i = 0; i < 12; ++i)
-        exchange.round({});
-    DOUBLES_EQUAL(0, exchange.othersOn("b1", 7), 0.01);
+        network.runRound({});
+    DOUBLES_EQUAL(0, network.othersTokenLayers("b1", 7), 0.01);
 }
 
-// Reports of single instances stay in their data centre; a round costs few datagrams, also with many instances.
-TEST(LoadExchange, DatagramsGrowWithInstancesNotWithTheirSquare)
+// Reports of single instances stay in their data centre, so a round needs few datagrams even with many instances.
+TEST(LoadExchange, DatagramCountGrowsLinearlyWithInstances)
 {
     for (const int size : { 9, 60, 330 }) {
         std::vector<LoadPeer> peers;
         peers.reserve(static_cast<std::size_t>(size));
         for (int i = 0; i < size; ++i)
             peers.push_back(peer("i" + std::to_string(i), std::string(1, static_cast<char>('a' + i % 4))));
-        Exchange exchange(std::move(peers));
-        exchange.round({});
-        CHECK_TRUE(exchange.datagrams() <= 5U * static_cast<unsigned>(size) + 48);
+        LoadNetwork network(std::move(peers));
+        network.runRound({});
+        CHECK_TRUE(network.datagramCount() <= 5U * static_cast<unsigned>(size) + 48);
     }
 }
 
@@ -284,7 +294,7 @@
         const char* name;
         std::size_t instances;
         std::uint64_t engines;
-        int rounds; ///< until all engines are known
+        int rounds; ///< number of rounds until the loads of all engines are known
     } cases[] = { { "all fit", 10, 90, 3 }, { "400 engines", 60, 400, 6 }, { "1,500 engines", 150, 1500, 40 } };
     for (const auto& each : cases) {
         std::vector<LoadPeer> peers;
@@ -295,40 +305,41 @@
             for (std::uint64_t engine = i % 10; engine < each.engines; engine += 10)
                 own[id].push_back({ engineKey(BackendId(std::to_string(engine))), 1000, 1, 0 });
         }
-        Exchange exchange(peers, BytesPerRound);
+        LoadNetwork network(peers, BytesPerRound);
         for (int i = 0; i < each.rounds; ++i) {
-            exchange.roundWithLoads(own);
-            CHECK_TRUE_TEXT(static_cast<double>(exchange.maxSentBytes()) < OverheadFactor * BytesPerRound, each.name);
+            network.runRoundWithLoads(own);
+            CHECK_TRUE_TEXT(static_cast<double>(network.maxSentBytes()) < OverheadFactor * BytesPerRound, each.name);
             CHECK_TRUE_TEXT(
-                static_cast<double>(exchange.maxReceivedBytes()) < OverheadFactor * BytesPerRound, each.name);
+                static_cast<double>(network.maxReceivedBytes()) < OverheadFactor * BytesPerRound, each.name);
         }
         for (const char* id : { "1000", "1004", "1008" }) {
-            const auto loads = exchange.node(id).others(exchange.now());
+            const auto loads = network.exchange(id).others(network.now());
             CHECK_TRUE_TEXT(loads.has_value(), each.name);
             CHECK_EQUAL_TEXT(each.engines, loads->size(), each.name);
-            const std::uint64_t otherEngine = engineKey(BackendId(std::to_string(9)));
+            const std::uint64_t engine = engineKey(BackendId(std::to_string(9)));
             const std::size_t reporters = each.instances / 10;
             DOUBLES_EQUAL_TEXT(
-                1000.0 * static_cast<double>(reporters), loads->at(otherEngine).tokenLayers, 1000.0, each.name);
+                1000.0 * static_cast<double>(reporters), loads->at(engine).tokenLayers, 1000.0, each.name);
         }
     }
 }
 
 TEST(LoadExchange, AnOldReportDoesNotReplaceANewerOne)
 {
-    LoadExchange node(peer("a1", "a"));
-    node.setPeers({ peer("a2", "a") });
+    LoadExchange exchange(peer("a1", "a"));
+    exchange.setPeers({ peer("a2", "a") });
     const TimePoint now = timePoint(1000);
-    const auto report = [](std::uint64_t sequence, double load) {
-        return LoadReport { InstanceId("a2"), DataCentreId("a"), sequence, LoadScope::Instance, 1, { { 7, load, 1 } } };
+    const auto report = [](std::uint64_t sequence, double tokenLayers) {
+        return LoadReport { InstanceId("a2"), DataCentreId("a"), sequence, LoadScope::Instance, 1,
+            { { 7, tokenLayers, 1 } } };
     };
-    node.take(report(5, 50), now);
-    node.take(report(4, 40), now);
-    (void)node.makeRound({}, now);
-    DOUBLES_EQUAL(50, node.others(now)->at(7).tokenLayers, 0.01);
+    exchange.take(report(5, 50), now);
+    exchange.take(report(4, 40), now);
+    (void)exchange.makeRound({}, now);
+    DOUBLES_EQUAL(50, exchange.others(now)->at(7).tokenLayers, 0.01);
 }
 
-TEST(LoadExchange, DatagramsComeBackAsTheyWere)
+TEST(LoadExchange, DatagramsAreUnchangedByEncodingAndDecoding)
 {
     PeerDatagram datagram;
     datagram.loads = LoadReport { InstanceId("i"), DataCentreId("z"), 9, LoadScope::Fleet, 3, { { ~0ULL, 5, 2 } },
@@ -361,7 +372,7 @@
     CHECK_TRUE(decoded->storeChanges->batch.events[1].deleted);
 }
 
-TEST(LoadExchange, BytesThatAreNoDatagramAreRefused)
+TEST(LoadExchange, MalformedDatagramsAreRejected)
 {
     const std::string bytes = encode(
         PeerDatagram { LoadReport { InstanceId("i"), DataCentreId("z"), 1, LoadScope::Instance, 1, { { 1, 1, 1 } } },
@@ -373,8 +384,9 @@
     CHECK_FALSE(decodePeerDatagram(encode(PeerDatagram { outOfRange, std::nullopt, std::nullopt })).ok());
 }
 
-// odpoklic-lj-grown: 59 instances with some ten streams each; an engine that looked empty to one was full.
-TEST(LoadExchange, ACallGoesWhereAllInstancesHoldLess)
+// Guards against calls that are sent to an engine that is full with the streams of other instances. With 59 instances
+// of about ten streams each, an engine that looked empty to one instance was full.
+TEST(LoadExchange, CallsAvoidEnginesThatOtherInstancesLoad)
 {
     for (const char* busy : { "a", "c" }) {
         RelayHarness harness;
@@ -387,8 +399,9 @@
     }
 }
 
-// odpoklic-lj-grown scale-1: five engines held the first layer, and calls waited 0.4 s for one of their slots.
-TEST(LoadExchange, ACallEntersWhereSlotsAreFree)
+// Guards against calls that wait for a slot while another engine has free ones. Five engines held the first layer, and
+// calls waited 0.4 s for one of their slots.
+TEST(LoadExchange, CallsEnterAtEnginesWithFreeSlots)
 {
     for (const char* busy : { "a", "c" }) {
         RelayHarness harness;
@@ -401,13 +414,14 @@
     }
 }
 
-// skanas-profili-grown trouble-3: each of 59 instances found out by itself which engines had left.
-TEST(LoadExchange, AServerThatOthersAvoidIsAvoided)
+// Guards against instances that each have to detect a failed engine by their own calls, as each of 59 instances did for
+// engines that had left.
+TEST(LoadExchange, AServerIsAvoidedIfEnoughOtherInstancesAvoidIt)
 {
     const struct {
         std::uint32_t instances;
         double avoiders;
-        bool avoided;
+        bool isAvoided;
     } cases[] = { { 9, 1, false }, { 9, 2, false }, { 9, 3, true }, { 60, 3, false }, { 60, 20, true } };
     for (const auto& each : cases) {
         RelayHarness harness;
@@ -416,17 +430,17 @@
         const std::uint64_t key = engineKey(BackendId("b"));
         loads[key] = { key, 0, 0, each.avoiders };
         harness.send(relay::event::LoadsReported { loads });
-        bool used = false;
+        bool isUsed = false;
         for (int i = 0; i < 12; ++i)
-            used = used || harness.running("/draft/1").chain.contains(BackendId("b"));
-        CHECK_EQUAL(each.avoided, !used);
+            isUsed = isUsed || harness.running("/draft/1").chain.contains(BackendId("b"));
+        CHECK_EQUAL(each.isAvoided, !isUsed);
     }
 }
 
-TEST(LoadExchange, ServersInTroubleAreToldToOthers)
+TEST(LoadExchange, FailedServersAreReportedAsAvoidedForSomeTime)
 {
     RelayHarness harness;
-    const auto avoids = [&](const BackendId& id) {
+    const auto isReportedAsAvoided = [&](const BackendId& id) {
         for (const EngineLoad& load : harness.reducer().fleet().ownLoads(harness.now())) {
             if (load.engine == engineKey(id) && load.avoiders > 0)
                 return true;
@@ -435,9 +449,9 @@
     };
     const auto start = harness.running("/draft/1");
     const Hop last = start.chain.hops().back();
-    CHECK_FALSE(avoids(last.backend));
+    CHECK_FALSE(isReportedAsAvoided(last.backend));
     harness.send(relay::event::AttemptEnded { start.attempt, AttemptResult::Broken, 200, last.address });
-    CHECK_TRUE(avoids(last.backend));
+    CHECK_TRUE(isReportedAsAvoided(last.backend));
     harness.tick(std::chrono::seconds(5));
-    CHECK_FALSE(avoids(last.backend));
+    CHECK_FALSE(isReportedAsAvoided(last.backend));
 }
--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -25,49 +25,51 @@
     return { { request(number), sign }, server };
 }
 
+/// @param since  time since the start of a test
 TimePoint at(Duration since) { return timePoint(1000000) + since; }
 
 } // namespace
 
 TEST_GROUP(RequestQuarantine) {};
 
-TEST(RequestQuarantine, EndsOfDifferentServersAddUp)
+TEST(RequestQuarantine, ARequestIsQuarantinedOnceEnoughDifferentServersEnd)
 {
     const auto begun = CrashSign::JustBegun;
     const auto waiting = CrashSign::Waiting;
     const struct {
         const char* name;
         std::vector<CrashReport> reports;
-        bool quarantined;
+        bool isQuarantined;
     } cases[] = {
-        { "three servers had just begun", { report(1, 1), report(1, 2), report(1, 3) }, true },
-        { "two servers had", { report(1, 1), report(1, 2) }, false },
-        { "one server, told of three times", { report(1, 1), report(1, 1), report(1, 1) }, false },
-        { "three requests, a server each", { report(1, 1), report(2, 2), report(3, 3) }, false },
-        { "it waited at five",
+        { "three servers had just begun to run it", { report(1, 1), report(1, 2), report(1, 3) }, true },
+        { "two servers had just begun to run it", { report(1, 1), report(1, 2) }, false },
+        { "three reports of one server", { report(1, 1), report(1, 1), report(1, 1) }, false },
+        { "three requests with one server each", { report(1, 1), report(2, 2), report(3, 3) }, false },
+        { "it was waiting at five servers",
             { report(1, 1, waiting), report(1, 2, waiting), report(1, 3, waiting), report(1, 4, waiting),
                 report(1, 5, waiting) },
             false },
-        { "it waited at six",
+        { "it was waiting at six servers",
             { report(1, 1, waiting), report(1, 2, waiting), report(1, 3, waiting), report(1, 4, waiting),
                 report(1, 5, waiting), report(1, 6, waiting) },
             true },
-        { "one instance saw it wait, another one that it had begun",
+        { "one instance reports it as waiting, another as just begun",
             { report(1, 1, waiting), report(1, 1, begun), report(1, 2), report(1, 3) }, true },
-        { "it had run for long", { report(1, 1, CrashSign::None), report(1, 2), report(1, 3) }, false },
+        { "it had been running for some time at one of three servers",
+            { report(1, 1, CrashSign::None), report(1, 2), report(1, 3) }, false },
     };
     for (const auto& each : cases) {
         RequestQuarantine quarantine;
         int verdicts = 0;
-        for (const CrashReport& given : each.reports)
-            verdicts += quarantine.add(given, at(milliseconds(0))) == RequestQuarantine::Change::Quarantined ? 1 : 0;
-        CHECK_EQUAL_TEXT(each.quarantined ? 1 : 0, verdicts, each.name);
-        CHECK_EQUAL_TEXT(each.quarantined, quarantine.isQuarantined(request(1), at(milliseconds(0))), each.name);
+        for (const CrashReport& crash : each.reports)
+            verdicts += quarantine.add(crash, at(milliseconds(0))) == RequestQuarantine::Change::Quarantined ? 1 : 0;
+        CHECK_EQUAL_TEXT(each.isQuarantined ? 1 : 0, verdicts, each.name);
+        CHECK_EQUAL_TEXT(each.isQuarantined, quarantine.isQuarantined(request(1), at(milliseconds(0))), each.name);
         CHECK_FALSE_TEXT(quarantine.isQuarantined(request(1, "other"), at(milliseconds(0))), each.name);
     }
 }
 
-TEST(RequestQuarantine, TimePassesAndARequestThatIsFoundAgainNeedsOneServer)
+TEST(RequestQuarantine, EvidenceExpiresAndAQuarantineIsRenewedByOneCrash)
 {
     RequestQuarantine quarantine;
     quarantine.add(report(1, 1), at(minutes(0)));
@@ -84,7 +86,8 @@
     CHECK_FALSE(quarantine.isQuarantined(request(1), at(minutes(52))));
 }
 
-TEST(RequestQuarantine, ACallerWhoMeansHarmFillsNoMemory)
+// A malicious caller may send many different requests, each with a report, to evict the record of one request.
+TEST(RequestQuarantine, TheRecordWithTheLatestCrashIsNotEvicted)
 {
     RequestQuarantine quarantine;
     for (std::uint64_t server = 1; server <= 3; ++server)
@@ -95,7 +98,7 @@
         each.suspect.request.content.bytes[2] = static_cast<std::uint8_t>(i >> 8U);
         quarantine.add(each, at(milliseconds(i)));
     }
-    // The request whose last crash is the newest stays.
+    // All other reports are older than the ones about this request.
     CHECK_TRUE(quarantine.isQuarantined(request(1), at(minutes(1))));
 }
 
@@ -109,75 +112,75 @@
         std::size_t crashes;
         std::size_t dismissed;
     } cases[] = {
-        { "it broke off, and its server refuses connections",
+        { "its attempt broke off, and the server refuses connections",
             [&](CrashEvidence& evidence) {
                 evidence.noteLost(suspect, { 1 }, at(milliseconds(0)));
                 evidence.noteEnded(1, {}, at(milliseconds(5)));
             },
             1, 0 },
-        { "its server was found dead before it broke off",
+        { "its server was found dead before its attempt broke off",
             [&](CrashEvidence& evidence) {
                 evidence.noteEnded(1, {}, at(milliseconds(0)));
                 evidence.noteLost(suspect, { 1 }, at(milliseconds(5)));
             },
             1, 0 },
-        { "it broke off, and its server answers",
+        { "its attempt broke off, and the server answers a check before it ends",
             [&](CrashEvidence& evidence) {
                 evidence.noteLost(suspect, { 1 }, at(milliseconds(0)));
                 evidence.noteAlive(1);
                 evidence.noteEnded(1, {}, at(milliseconds(100)));
             },
             0, 0 },
-        { "it was running there",
+        { "it was running on the server",
             [&](CrashEvidence& evidence) { evidence.noteEnded(1, { suspect }, at(milliseconds(0))); }, 1, 0 },
-        { "its server was silent, and a later start took its place",
+        { "its server did not answer, and its end was confirmed 3 s later",
             [&](CrashEvidence& evidence) {
                 evidence.noteLost(suspect, { 1 }, at(milliseconds(0)));
                 evidence.noteSilent(1, at(milliseconds(80)));
                 evidence.noteEnded(1, {}, at(milliseconds(3000)));
             },
             1, 0 },
-        { "a silent server that answers again",
+        { "its server did not answer for a time, then answers again",
             [&](CrashEvidence& evidence) {
                 evidence.noteSilent(1, at(milliseconds(0)));
                 evidence.noteLost(suspect, { 1 }, at(milliseconds(10)));
                 evidence.noteAlive(1);
             },
             0, 0 },
-        { "two others end in the same moment",
+        { "two other servers end at about the same time",
             [&](CrashEvidence& evidence) {
                 evidence.noteEnded(1, { suspect }, at(milliseconds(0)));
                 evidence.noteEnded(2, {}, at(milliseconds(100)));
                 evidence.noteSilent(3, at(milliseconds(200)));
             },
             0, 1 },
-        { "two others end in the same moment, also under it",
+        { "two other servers that were running it end at about the same time",
             [&](CrashEvidence& evidence) {
                 for (std::uint64_t server = 1; server <= 3; ++server)
                     evidence.noteEnded(server, { suspect }, at(milliseconds(100) * static_cast<int>(server)));
             },
             3, 0 },
-        { "one other ends in the same moment",
+        { "one other server ends at about the same time",
             [&](CrashEvidence& evidence) {
                 evidence.noteEnded(1, { suspect }, at(milliseconds(0)));
                 evidence.noteEnded(2, {}, at(milliseconds(100)));
             },
             1, 0 },
-        { "two others end shortly after its server, both known to be alive after its end was found",
+        { "two other servers end shortly after, both known to be alive after the end of its server was detected",
             [&](CrashEvidence& evidence) {
                 evidence.noteEnded(1, { suspect }, at(milliseconds(0)));
                 evidence.noteEnded(2, {}, at(milliseconds(100)), at(milliseconds(90)));
                 evidence.noteSilent(3, at(milliseconds(200)), at(milliseconds(120)));
             },
             1, 0 },
-        { "two others end before its server was last known to be alive",
+        { "two other servers end before its server was last known to be alive",
             [&](CrashEvidence& evidence) {
                 evidence.noteEnded(2, {}, at(milliseconds(0)));
                 evidence.noteEnded(3, {}, at(milliseconds(50)));
                 evidence.noteEnded(1, { suspect }, at(milliseconds(200)), at(milliseconds(150)));
             },
             1, 0 },
-        { "two others end with its server, and the last event of one arrives late",
+        { "two other servers end at about the same time, and the last event of one of them arrives late",
             [&](CrashEvidence& evidence) {
                 evidence.noteEnded(1, { suspect }, at(milliseconds(100)), at(milliseconds(80)));
                 evidence.noteEnded(2, {}, at(milliseconds(180)), at(milliseconds(130)));
@@ -196,7 +199,7 @@
     }
 }
 
-TEST(RequestQuarantine, ReportsCrossTheNetworkWhole)
+TEST(RequestQuarantine, DatagramsKeepCrashReportsAndTruncatedOnesAreRejected)
 {
     PeerDatagram datagram;
     datagram.crashes = { report(1, 7), report(2, ~0ULL, CrashSign::Waiting) };
@@ -217,22 +220,23 @@
 
 namespace {
 
-/// Sends the same request to the plain service under another id.
-void callPlainService(RelayHarness& harness, std::uint64_t which)
+/// Sends a repeat of one request to the plain service.
+/// @param id  id of the call
+void callPlainService(RelayHarness& harness, std::uint64_t id)
 {
     CallSpec spec;
     spec.host = "h.example";
     spec.path = "/book/1";
     spec.key = "key";
     spec.content.bytes[0] = 9;
-    harness.send(relay::event::CallArrived { RequestId(which), spec });
+    harness.send(relay::event::CallArrived { RequestId(id), spec });
 }
 
-/// Sends it, and has its answer break off.
+/// Sends a repeat of the request to the plain service, and breaks off its attempt before the answer begins.
 /// @return the attempt
-relay::effect::StartAttempt breakOffAtPlainServer(RelayHarness& harness, std::uint64_t which)
+relay::effect::StartAttempt breakOffAtPlainServer(RelayHarness& harness, std::uint64_t id)
 {
-    callPlainService(harness, which);
+    callPlainService(harness, id);
     const auto start = harness.last<relay::effect::StartAttempt>();
     CHECK_TRUE(start.has_value());
     harness.send(relay::event::AttemptSent { start->attempt });
@@ -240,7 +244,8 @@
     return *start;
 }
 
-/// Registers the next start of a plain server at the address of the one before.
+/// Registers the next start of a plain server.
+/// @param address  the address of the previous start
 void registerSuccessor(RelayHarness& harness, const std::string& address, int number)
 {
     RegisteredServer successor = RelayHarness::plain("x");
@@ -251,20 +256,21 @@
 
 } // namespace
 
-// A plain service's server gives no report and sends no head before its answer.
-TEST(RequestQuarantine, ARequestThatEndsPlainServersIsFoundByProbes)
+// Servers of a plain service send no load reports and no response header before the whole answer, so the end of a
+// server has to be detected by a probe.
+TEST(RequestQuarantine, ARequestThatCrashesPlainServersIsDetectedByProbes)
 {
     RelayHarness harness;
-    std::uint64_t next = 1000;
+    std::uint64_t nextId = 1000;
     for (int crash = 0; crash < 3; ++crash) {
-        const auto start = breakOffAtPlainServer(harness, next++);
+        const auto start = breakOffAtPlainServer(harness, nextId++);
         const auto probe = harness.last<relay::effect::ProbeServer>();
         CHECK_TRUE(probe && probe->server == start.server);
         harness.send(relay::event::ServerProbed { probe->server, relay::event::ServerProbed::Finding::Ended });
         registerSuccessor(harness, start.address, crash);
         harness.tick(milliseconds(1000));
     }
-    callPlainService(harness, next);
+    callPlainService(harness, nextId);
     const auto refusal = harness.last<relay::effect::Refuse>();
     CHECK_TRUE(refusal && refusal->reason == Reason::CrashesServers);
     CHECK_TRUE(refusal->run == RunState::NotRun);
@@ -272,8 +278,8 @@
     CHECK_FALSE(harness.last<relay::effect::StartAttempt>().has_value());
 }
 
-// A proxy before a server accepted each probe, which was taken for a sign of life of the server that had ended behind
-// it: the request was never quarantined.
+// Guards against crashes that are not counted because a proxy in front of a server accepts the connection of each
+// probe. The server behind it had ended but was considered alive, so the request was never quarantined.
 TEST(RequestQuarantine, AnEndThatAProbeDoesNotShowIsCountedOnceTheNextStartIsRegistered)
 {
     using Finding = relay::event::ServerProbed::Finding;
@@ -282,39 +288,39 @@
         Finding finding;
         bool isQuarantined;
     } cases[] = {
-        { "the probe does not tell", Finding::Unknown, true },
+        { "the probe does not tell whether the server is alive", Finding::Unknown, true },
         { "the server is alive and is replaced later", Finding::Alive, false },
     };
     for (const auto& each : cases) {
         RelayHarness harness;
-        std::uint64_t next = 1000;
+        std::uint64_t nextId = 1000;
         for (int crash = 0; crash < 3; ++crash) {
-            const auto start = breakOffAtPlainServer(harness, next++);
+            const auto start = breakOffAtPlainServer(harness, nextId++);
             const auto probe = harness.last<relay::effect::ProbeServer>();
             CHECK_TRUE_TEXT(probe && probe->path == "/health", each.name);
             harness.send(relay::event::ServerProbed { start.server, each.finding });
-            bool isAskedAgain = false;
+            bool isProbedAgain = false;
             for (int wait = 0; wait < 50; ++wait) {
                 harness.tick(milliseconds(20));
-                isAskedAgain = isAskedAgain || harness.last<relay::effect::ProbeServer>();
+                isProbedAgain = isProbedAgain || harness.last<relay::effect::ProbeServer>();
             }
-            CHECK_EQUAL_TEXT(each.finding == Finding::Unknown, isAskedAgain, each.name);
+            CHECK_EQUAL_TEXT(each.finding == Finding::Unknown, isProbedAgain, each.name);
             registerSuccessor(harness, start.address, crash);
             harness.tick(milliseconds(1000));
         }
-        callPlainService(harness, next);
+        callPlainService(harness, nextId);
         const auto refusal = harness.last<relay::effect::Refuse>();
         const bool isQuarantined = refusal && refusal->reason == Reason::CrashesServers;
         CHECK_EQUAL_TEXT(each.isQuarantined, isQuarantined, each.name);
     }
 }
 
-// Nothing that one workspace sends bears on another one's requests, and a verdict can be lifted.
-TEST(RequestQuarantine, AVerdictOfTheStoreIsInForceUntilItIsLifted)
+// Also guards against a quarantine that affects the requests of another workspace.
+TEST(RequestQuarantine, AQuarantineFromTheStoreIsInForceUntilItIsLifted)
 {
     RelayHarness harness;
-    const RequestIdentity same { WorkspaceId("w"), {} };
-    const RequestIdentity another { WorkspaceId("v"), {} };
+    const RequestIdentity ownRequest { WorkspaceId("w"), {} };
+    const RequestIdentity othersRequest { WorkspaceId("v"), {} };
     const auto isRefused = [&](std::uint64_t id) {
         CallSpec spec;
         spec.host = "h.example";
@@ -323,11 +329,11 @@
         harness.send(relay::event::CallArrived { RequestId(id), spec });
         return harness.last<relay::effect::Refuse>().has_value();
     };
-    harness.send(relay::event::QuarantineListed { another });
+    harness.send(relay::event::QuarantineListed { othersRequest });
     CHECK_FALSE(isRefused(1000));
-    harness.send(relay::event::QuarantineListed { same });
-    CHECK_TRUE(harness.last<relay::effect::Refuse>().has_value()); // The call that was running.
+    harness.send(relay::event::QuarantineListed { ownRequest });
+    CHECK_TRUE(harness.last<relay::effect::Refuse>().has_value()); // The call that was already running is refused.
     CHECK_TRUE(isRefused(1001));
-    harness.send(relay::event::QuarantineLifted { same });
+    harness.send(relay::event::QuarantineLifted { ownRequest });
     CHECK_FALSE(isRefused(1002));
 }
