--- a/src/planning/PlanTiming.h
+++ b/src/planning/PlanTiming.h
@@ -22,7 +22,7 @@
 
 private:
     std::set<BackendId> m_engines;
-    TimePoint m_lastChangeAt; ///< when the list last changed
+    TimePoint m_lastChangeAt; ///< when m_engines last changed
 };
 
 } // namespace crocusmount
--- a/src/relay/CrashEvidence.h
+++ b/src/relay/CrashEvidence.h
@@ -16,7 +16,8 @@
 ///
 /// A server that crashes ends all requests that it runs. Two rules narrow down the cause:
 /// - A request is suspected only if the server had just begun to run it or may have been about to (see CrashSign).
-/// - If several other servers ended at about the same time, the cause is the loss of a rack or a switch.
+/// - If several servers that did not hold the request ended at about the same time, the cause is assumed to be the loss
+///   of a group of servers, such as a rack or those behind a switch.
 ///
 /// A server ended at some time between when it was last known to be alive and when its end was detected. Servers whose
 /// intervals do not overlap did not end together, even if their ends were detected within a short time.
@@ -26,7 +27,7 @@
     /// @param servers  servers on the attempt's chain that may have ended
     void noteLost(const CrashSuspect&, std::vector<std::uint64_t> servers, TimePoint now);
 
-    /// Records that a server answered. Attempts that were lost there before were not lost to its end.
+    /// Records that a server answered, so the server had not ended when earlier attempts were lost there.
     void noteAlive(std::uint64_t server);
 
     /// Records that a server does not answer. The server may have ended or be cut off by the network.
@@ -45,15 +46,15 @@
         std::vector<CrashReport> dismissed; ///< the server ended together with others, in a group failure
     };
     /// Classifies the ends that were confirmed long enough ago to tell a crash from a group failure.
-    /// @return the ends classified by this call; each end is returned once
+    /// @return a report for each suspect of the ends that this call has classified
     Findings settle(TimePoint now);
 
     /// @return the number of possible or confirmed ends of servers that are not classified yet and for which this
     ///         request is a suspect
     std::size_t openCases(const RequestIdentity&) const;
 
-    /// @return servers that may have ended during an attempt, each with the time when the last such attempt was lost;
-    ///         only an answer to a check sent after that time shows that the server is alive
+    /// @return servers that may have ended during an attempt, each with the time when the last such attempt was lost. A
+    ///         check has to be sent after that time to show whether the server was still alive.
     std::map<std::uint64_t, TimePoint> unsettledServers() const;
 
 private:
@@ -68,7 +69,7 @@
         TimePoint detectedAt;
         TimePoint lastAliveAt;
         std::optional<TimePoint> confirmedAt; ///< empty while the server merely does not answer
-        bool isSettled = false; ///< has been returned by settle()
+        bool isSettled = false; ///< has been classified
         std::vector<CrashSuspect> suspects; ///< at most one per request
 
         bool hasSuspect(const RequestIdentity&) const;
--- a/tests/AdmissionTest.cpp
+++ b/tests/AdmissionTest.cpp
@@ -38,7 +38,7 @@
             continue;
         CHECK_TRUE(refusal->reason == Reason::NoCapacity);
         CHECK_TRUE(refusal->retryAfter >= milliseconds(600));
-        CHECK_TRUE(refusal->retryAfter <= seconds(6)); // Callers ignore more than a third of 20 s.
+        CHECK_TRUE(refusal->retryAfter <= seconds(6)); // Callers wait for at most a third of their 20 s.
         first = first.count() ? first : refusal->retryAfter;
         last = refusal->retryAfter;
     }
--- a/tests/CrashFleet.h
+++ b/tests/CrashFleet.h
@@ -98,7 +98,7 @@
 
     void startInstance(std::size_t instance);
     void post(std::size_t instance, RelayEventBody);
-    void postLater(Duration delay, std::size_t instance, RelayEventBody);
+    void postLater(Duration, std::size_t instance, RelayEventBody);
     /// Sends an event to all other instances.
     void broadcast(std::size_t instance, const RelayEventBody&);
     void apply(std::size_t instance, const RelayEffects&);
--- a/tests/LoadExchangeTest.cpp
+++ b/tests/LoadExchangeTest.cpp
@@ -145,7 +145,7 @@
 
 TEST_GROUP(LoadExchange) {};
 
-TEST(LoadExchange, EachInstanceLearnsWhatAllOthersHold)
+TEST(LoadExchange, EachInstanceLearnsTheLoadOfAllOthers)
 {
     LoadNetwork network(sevenPeers());
     const std::map<std::string, EngineLoad> own { { "a1", { 7, 1, 1 } }, { "a4", { 7, 10, 1 } },
