--- a/src/planning/HolderWeights.h
+++ b/src/planning/HolderWeights.h
@@ -12,15 +12,15 @@
 /// Weighs existing holders of a layer by accelerator kind, to decide where one more engine is placed.
 ///
 /// A holder counts by its speed relative to the faster of the placed engine and the fleet's mean, and at most as 1.
-/// Streams at a layer that only slow cards hold still wait for a faster card, while a fleet that has mostly slow cards
-/// is served by these. Mean score of five benchmark days with failures:
-/// - with all holders counted as 1: 0.470 instead of 0.509 in a fleet of 38 engines that keeps its 14 slow cards in
-///   reserve;
-/// - with slow holders always counted as 0.4: 0.690 instead of 0.727 in a fleet that depends on its 33 slow cards.
+/// Streams at a layer that only slow accelerators hold still wait for a faster one, while a fleet of mostly slow
+/// accelerators depends on them. Mean score of five benchmark days with failures, compared with these weights:
+/// - All holders counted as 1: 0.470 instead of 0.509 in a fleet of 38 engines with 14 slow accelerators in reserve.
+/// - Slow holders always counted as 0.4: 0.690 instead of 0.727 in a fleet that depends on its 33 slow accelerators.
 class HolderWeights {
 public:
     /// @param model         must outlive this object
-    /// @param meanSlowness  the fleet's mean AcceleratorKind::stepFactor, weighted by the layers that each card holds
+    /// @param meanSlowness  mean AcceleratorKind::stepFactor of the fleet, weighted by the layers that each accelerator
+    /// holds
     HolderWeights(const relay::EngineModel& model, double meanSlowness);
 
     /// Makes each holder count as 1.
@@ -36,7 +36,7 @@
     double weight(std::size_t holder, std::size_t placed) const;
 
 private:
-    /// @return the step time of a kind relative to the model's reference card; the fleet's mean for unknown kinds
+    /// @return the AcceleratorKind::stepFactor of a kind, or the fleet's mean for kinds that the model does not name
     double slownessOf(std::size_t kind) const;
 
     const relay::EngineModel& m_model;
--- a/src/planning/LayerPlanner.cpp
+++ b/src/planning/LayerPlanner.cpp
@@ -52,7 +52,7 @@
         return needed;
     }
 
-    /// @return the mean stepFactor of the fleet's cards, weighted by the layers that fit beside the KV cache
+    /// @return the mean stepFactor of the fleet's accelerators, weighted by the layers that fit beside the KV cache
     double meanSlowness(
         const relay::EngineModel& model, const std::vector<LayerPlanner::Engine>& engines, double kvTarget)
     {
@@ -141,7 +141,7 @@
     LayerCoverage coverage(model.layers, requiredEntries(model, engines, kvTarget), weights);
     struct EmptyEngine {
         std::uint32_t layerCount = 0; ///< number of layers to hold
-        double slowness = 1; ///< AcceleratorKind::stepFactor of the engine's card
+        double slowness = 1; ///< AcceleratorKind::stepFactor of the engine
         const Engine* engine = nullptr;
     };
     std::vector<EmptyEngine> emptyEngines;
@@ -160,7 +160,7 @@
         if (count)
             emptyEngines.push_back({ count, kind->stepFactor, &engine });
     }
-    // Fast cards are placed first and cover the model. Slow cards fill the remaining gaps, then serve as spares.
+    // Fast engines are placed first and cover the model. Slow engines fill the remaining gaps, then serve as spares.
     std::stable_sort(emptyEngines.begin(), emptyEngines.end(),
         [](const EmptyEngine& a, const EmptyEngine& b) { return a.slowness < b.slowness; });
     std::vector<Order> orders;
--- a/src/relay/CrashReport.h
+++ b/src/relay/CrashReport.h
@@ -5,7 +5,7 @@
 
 namespace crocusmount::relay {
 
-/// A request that has made progress at a server for this long is taken to be harmless to servers.
+/// A request that has made progress at a server for this long is considered harmless to servers.
 constexpr Duration SoundRun = std::chrono::milliseconds(300);
 
 /// How strongly the end of a server points to a request that the server held, in ascending order.
@@ -21,7 +21,7 @@
     CrashSign sign = CrashSign::None;
 };
 
-/// Says that a backend server ended while it held a request that may have crashed it.
+/// Says that a backend server ended while it held a request that may have crashed the server.
 struct CrashReport {
     CrashSuspect suspect;
     std::uint64_t server = 0; ///< key of the start of the server that ended, see engineKey
--- a/src/relay/LoadExchange.cpp
+++ b/src/relay/LoadExchange.cpp
@@ -142,9 +142,9 @@
 {
     std::vector<OutgoingLoadReport> outgoing;
     ++m_sequence;
-    const std::size_t members = m_peers[m_self.dataCentre].size();
+    const std::size_t memberCount = m_peers[m_self.dataCentre].size();
     // The limit is shared among all members, because a collector receives the reports of all of them in each round.
-    const LoadReport ownReport = makeReport(LoadScope::Instance, 1, own, members);
+    const LoadReport ownReport = makeReport(LoadScope::Instance, 1, own, memberCount);
     m_ownLoads = std::move(own);
     for (const LoadPeer* collector : collectorsOf(m_self.dataCentre)) {
         if (!(*collector == m_self))
@@ -154,7 +154,7 @@
         m_lastHeard.clear();
         return outgoing;
     }
-    // A collector does not send itself slices: it takes in its whole load in each round.
+    // A collector always uses its own loads in full, even if its report covers only one slice.
     LoadReport fullReport = ownReport;
     fullReport.slice = 0;
     fullReport.slices = 1;
@@ -172,8 +172,8 @@
         }
     };
     addFresh(m_members);
-    const std::size_t receivers = members + (m_peers.size() - 1) * CollectorCount;
-    LoadReport localReport = makeReport(LoadScope::DataCentre, instances, toVector(sums), receivers);
+    const std::size_t receiverCount = memberCount + (m_peers.size() - 1) * CollectorCount;
+    LoadReport localReport = makeReport(LoadScope::DataCentre, instances, toVector(sums), receiverCount);
     localReport.silentInstances = silentMembers(now);
     for (const auto& [dataCentre, peers] : m_peers) {
         if (dataCentre == m_self.dataCentre)
@@ -183,7 +183,7 @@
     }
     addFresh(m_dataCentreSums);
     std::vector<EngineLoad> fleetLoads = toVector(sums);
-    LoadReport fleetReport = makeReport(LoadScope::Fleet, instances, fleetLoads, receivers);
+    LoadReport fleetReport = makeReport(LoadScope::Fleet, instances, fleetLoads, receiverCount);
     fleetReport.silentInstances = localReport.silentInstances;
     for (const auto& [dataCentre, sum] : m_dataCentreSums) {
         const auto& silent = sum.silentInstances;
@@ -194,7 +194,7 @@
         if (!(peer == m_self))
             outgoing.push_back({ peer.address, fleetReport });
     }
-    // This instance uses the whole sum, also where its members receive one slice.
+    // This instance uses the whole sum, even if the other instances receive only one slice of it.
     fleetReport.slice = 0;
     fleetReport.slices = 1;
     fleetReport.engines = std::move(fleetLoads);
--- a/src/relay/RequestQuarantine.h
+++ b/src/relay/RequestQuarantine.h
@@ -14,8 +14,8 @@
 class RequestQuarantine {
 public:
     /// Points of evidence at which a request is quarantined. Three servers that ended just after they began to run the
-    /// request are enough, or six at which the request was waiting. A request that is not the cause would have to be
-    /// at as many crashed servers by chance.
+    /// request are enough, or six at which the request was waiting. A harmless request would have to be at that
+    /// many crashed servers by chance.
     static constexpr std::uint32_t Limit = 6;
     /// @return the points of evidence for the end of one server
     static std::uint32_t pointsOf(CrashSign);
