--- a/src/relay/CallPlacer.cpp
+++ b/src/relay/CallPlacer.cpp
@@ -11,35 +11,42 @@
 
 namespace {
 
-    /// A server avoided after a failure is still better than none.
+    /// Penalty of a server that is being avoided. It is still preferred to no server at all.
     constexpr double AvoidedPenaltyMs = 1000;
-    /// Part of all instances that must avoid a server before the others do too: a few may have a fault of their own.
-    constexpr double AvoiderShare = 0.25;
-    constexpr double LeastAvoiders = 2;
-    /// A server on which this very call failed before.
+    /// Fraction of all instances that must avoid a server before this one avoids it, too. A smaller group may have a
+    /// fault of its own.
+    constexpr double MinAvoiderFraction = 0.25;
+    /// Lower limit of the number of instances that MinAvoiderFraction requires.
+    constexpr double MinAvoiders = 2;
+    /// Penalty of a server that already failed the call being placed.
     constexpr double FailedBeforePenaltyMs = 5000;
-    /// Part of a stage's pass that an event waits for it.
-    constexpr double PassWaitShare = 0.5;
-    /// Random part of a cost, so that instances with the same view do not all choose the same server.
+    /// Fraction of a stage's pass that an event waits for on average before the stage processes it.
+    constexpr double PassWaitFraction = 0.5;
+    /// Random fraction added to a cost, so that instances with identical information choose different servers.
     constexpr double CostJitter = 0.2;
-    /// Cost of a stage that a rerouted stream has already: it keeps its KV cache, others read all tokens again.
-    constexpr double KeptStageDiscount = 0.2;
-    /// How much the cost of a plain service's server grows with its rate of failures.
-    constexpr double FailurePenalty = 4;
-    /// The other instances choose alike between two reports: this part of them is taken to have placed what this one
-    /// has since the last.
-    constexpr double AlikeShare = 0.3;
-    /// Own calls at which a plain service's server counts as full, over this instance's share of its slots.
+    /// Cost factor of a stage that a rerouted stream already uses. Its KV cache is kept, while a new stage has to
+    /// process all tokens again.
+    constexpr double KeptStageCostFactor = 0.2;
+    /// Cost increase of a plain service's server per unit of its failure rate.
+    constexpr double FailureRateWeight = 4;
+    /// Fraction of this instance's calls placed since the last load reports that each other instance is assumed to have
+    /// placed on the same engine, because instances make similar choices between two reports.
+    constexpr double SimilarChoiceFraction = 0.3;
+    /// Factor on this instance's share of the slots of a plain service's server. Above this number of own calls the
+    /// server counts as full.
     constexpr double SlotOvercommit = 2;
 
-    /// Cost of entering at an engine whose slots are all taken: calls wait there for another to end.
+    /// Cost of entering a chain at an engine without a free slot, where calls wait for another call to end.
     constexpr double NoSlotPenaltyMs = 200;
-    /// The exponent keeps engines with half of their slots free alike.
-    constexpr double SlotExponent = 8;
+    /// Exponent of the used fraction of slots. It keeps the cost of entering negligible while half of the slots are
+    /// free.
+    constexpr double SlotUseExponent = 8;
 
+    /// @param calls  estimated calls of all instances that have this engine as first stage
+    /// @return cost of entering a chain at this engine, in ms
     double entryPenaltyMs(double calls, std::uint32_t slots)
     {
-        return NoSlotPenaltyMs * std::pow(calls / std::max(1U, slots), SlotExponent);
+        return NoSlotPenaltyMs * std::pow(calls / std::max(1U, slots), SlotUseExponent);
     }
 
 } // namespace
@@ -62,14 +69,15 @@
     return Placement { first.backend, first.address, *chain };
 }
 
-std::optional<Chain> CallPlacer::reroute(const Call& call, const Attempt& attempt, const std::vector<BackendId>& away,
-    TimePoint now, std::uint64_t entropy) const
+std::optional<Chain> CallPlacer::reroute(const Call& call, const Attempt& attempt,
+    const std::vector<BackendId>& excluded, TimePoint now, std::uint64_t entropy) const
 {
     const Service* service = call.routes->service(call.service);
     if (!service || !service->engine || attempt.chain.hops().empty())
         return std::nullopt;
     auto chain = findChain(call, *service->engine, &attempt, now, entropy);
-    if (!chain || std::any_of(away.begin(), away.end(), [&](const BackendId& id) { return chain->contains(id); }))
+    if (!chain
+        || std::any_of(excluded.begin(), excluded.end(), [&](const BackendId& id) { return chain->contains(id); }))
         return std::nullopt;
     return chain;
 }
@@ -77,20 +85,21 @@
 double CallPlacer::penaltyMs(const Call& call, const FleetServer& server, TimePoint now) const
 {
     const bool failedBefore = std::find(call.avoid.begin(), call.avoid.end(), server.entry.id) != call.avoid.end();
-    const bool believed = !m_options.without.has(Mechanism::OthersAvoidance);
-    const bool avoided = now < server.avoidUntil
-        || (believed && server.others.avoiders >= std::max(LeastAvoiders, AvoiderShare * m_instances));
-    return (avoided ? AvoidedPenaltyMs : 0) + (failedBefore ? FailedBeforePenaltyMs : 0);
+    const bool usesOthersAvoidance = !m_options.without.has(Mechanism::OthersAvoidance);
+    const bool isAvoided = now < server.avoidUntil
+        || (usesOthersAvoidance && server.others.avoiders >= std::max(MinAvoiders, MinAvoiderFraction * m_instances));
+    return (isAvoided ? AvoidedPenaltyMs : 0) + (failedBefore ? FailedBeforePenaltyMs : 0);
 }
 
-/// What all instances' calls hold on an engine.
-EngineLoad CallPlacer::loadOn(const FleetServer& server, TimePoint now) const
+/// @return the estimated load of all instances' calls on an engine
+EngineLoad CallPlacer::estimatedLoad(const FleetServer& server, TimePoint now) const
 {
     const EngineLoad own = server.ownLoad(now);
+    // Without reports, every other instance is assumed to use the engine as much as this one.
     if (!m_fleet.knowsOthersLoad())
         return { own.engine, own.tokenLayers * m_instances, own.calls * m_instances };
-    const auto total = [&](double mine, double reported, double others) {
-        return mine + others + AlikeShare * (m_instances - 1) * std::max(0.0, mine - reported);
+    const auto total = [&](double current, double atLastReport, double others) {
+        return current + others + SimilarChoiceFraction * (m_instances - 1) * std::max(0.0, current - atLastReport);
     };
     return { own.engine, total(own.tokenLayers, server.reported.tokenLayers, server.others.tokenLayers),
         total(own.calls, server.reported.calls, server.others.calls) };
@@ -101,58 +110,58 @@
 {
     const Hop* first = running ? &running->chain.hops().front() : nullptr;
     std::vector<ChainCandidate> candidates;
-    std::map<DataCentreId, std::uint32_t> indices { { m_options.dataCentre, 0 } };
+    std::map<DataCentreId, std::uint32_t> dataCentreIndices { { m_options.dataCentre, 0 } };
     const auto indexOf = [&](const DataCentreId& id) {
-        return indices.emplace(id, static_cast<std::uint32_t>(indices.size())).first->second;
+        return dataCentreIndices.emplace(id, static_cast<std::uint32_t>(dataCentreIndices.size())).first->second;
     };
-    std::uint32_t home = 0;
-    std::uint64_t use = 0;
+    std::uint32_t startDataCentre = 0;
+    std::uint64_t jitterIndex = 0;
     for (const auto& [id, server] : m_fleet.servers()) {
         const RegisteredServer& entry = server.entry;
         if (first && id == first->backend) {
-            home = indexOf(entry.dataCentre);
+            startDataCentre = indexOf(entry.dataCentre);
             continue;
         }
-        const AcceleratorKind* card = model.kind(entry.accelerator);
-        if (entry.service != call.service || entry.leaving || !entry.layers.size() || !card)
+        const AcceleratorKind* accelerator = model.kind(entry.accelerator);
+        if (entry.service != call.service || entry.leaving || !entry.layers.size() || !accelerator)
             continue;
-        // Where no other chain is left a call waits for one: an attempt at a dead stage is a retry spent for nothing.
+        // An attempt at a dead stage would waste a retry. If no other chain is left, the call waits for one.
         if (server.refusedCheck)
             continue;
-        // It goes on with what it has.
+        // A closed engine rejects new calls, but continues with streams that already run there.
         if (server.isClosed(now) && !(running && running->chain.contains(id)))
             continue;
-        const EngineLoad load = loadOn(server, now);
+        const EngineLoad load = estimatedLoad(server, now);
         const double contextTokens = load.tokenLayers / entry.layers.size() + call.tokens;
         const double slowness = m_options.without.has(Mechanism::SlownessPrice) ? 1 : server.slowness;
-        const EngineCost cost(model, *card, entry.layers.size(), contextTokens, slowness);
+        const EngineCost cost(model, *accelerator, entry.layers.size(), contextTokens, slowness);
         if (cost.fill() > m_options.memoryOvercommit && server.ownTokenLayers > 0)
             continue;
-        const double kept = running && running->chain.contains(id) ? KeptStageDiscount : 1;
-        const double entryMs
+        const double keptFactor = running && running->chain.contains(id) ? KeptStageCostFactor : 1;
+        const double firstStagePenaltyMs
             = m_options.without.has(Mechanism::EntryPrice) ? 0 : entryPenaltyMs(load.calls, entry.slots);
-        const double jitter = 1 + CostJitter * spread(entropy, ++use);
-        // A stage takes an event up only after its pass under way, which runs all of its layers.
-        const double entering = kept * PassWaitShare * cost.passMs() + penaltyMs(call, server, now);
+        const double jitter = 1 + CostJitter * spread(entropy, ++jitterIndex);
+        // A stage processes a new event only after its current pass, which runs all of its layers.
+        const double stagePenaltyMs = keptFactor * PassWaitFraction * cost.passMs() + penaltyMs(call, server, now);
         candidates.push_back({ id, entry.address, entry.layers, indexOf(entry.dataCentre),
-            kept * cost.marginalMsPerLayer() * jitter, entering, entryMs });
+            keptFactor * cost.marginalMsPerLayer() * jitter, stagePenaltyMs, firstStagePenaltyMs });
     }
-    return ChainFinder::find(model.layers, candidates, home, first);
+    return ChainFinder::find(model.layers, candidates, startDataCentre, first);
 }
 
 std::optional<Placement> CallPlacer::findServer(const Call& call, TimePoint now, std::uint64_t entropy) const
 {
     const FleetServer* best = nullptr;
     double bestCost = 0;
-    std::uint64_t use = 0;
+    std::uint64_t jitterIndex = 0;
     for (const auto& [id, server] : m_fleet.servers()) {
         const RegisteredServer& entry = server.entry;
         if (entry.service != call.service || entry.leaving)
             continue;
         if (server.ownCalls >= std::max(1.0, SlotOvercommit * entry.slots / m_instances) + 1)
             continue;
-        const double cost = (1 + server.ownCalls) * (1 + FailurePenalty * server.failureRate)
-                * (1 + CostJitter * spread(entropy, ++use))
+        const double cost = (1 + server.ownCalls) * (1 + FailureRateWeight * server.failureRate)
+                * (1 + CostJitter * spread(entropy, ++jitterIndex))
             + (entry.dataCentre == m_options.dataCentre ? 0 : CostJitter) + penaltyMs(call, server, now);
         if (!best || cost < bestCost) {
             best = &server;
--- a/src/relay/RelayEffect.h
+++ b/src/relay/RelayEffect.h
@@ -18,123 +18,123 @@
 
 namespace crocusmount::relay {
 
-/// The closed family of the relay's effects.
+/// The actions that RelayReducer asks the shell to carry out.
 namespace effect {
 
     /// Send the call to a backend server.
     struct StartAttempt {
         AttemptId attempt;
         RequestId call;
-        BackendId server; ///< the first stage; no other server may take the call
-        std::string address;
+        BackendId server; ///< first stage, or the only server; no other server may accept the call
+        std::string address; ///< of that server, "ip:port"
         Chain chain; ///< no hops for a plain service
-        Duration remaining {}; ///< until the call's deadline
-        std::optional<std::uint64_t> resumeAfter; ///< the last event that the caller has
-        std::string route; ///< its id, for logs
+        Duration remaining {}; ///< time until the call's deadline
+        std::optional<std::uint64_t> resumeAfter; ///< id of the last event that the caller has received
+        std::string route; ///< id of the call's route, for logs
         std::string workspace; ///< empty for an anonymous route
-        bool stream = false;
+        bool stream = false; ///< whether the answer is a stream of events
         AttemptPurpose purpose = AttemptPurpose::First;
     };
 
-    /// Close the attempt's connection, so that the server stops its work.
+    /// Close the attempt's connection, so that the server stops running the call.
     struct CancelAttempt {
         AttemptId attempt;
         CancelCause cause = CancelCause::Superseded; ///< for logs
     };
 
-    /// Keep what an attempt's server sends from the caller until ContinueAnswer: another attempt goes on after the last
-    /// delivered event, and a later one would reach the caller twice.
+    /// Buffer the answer of an attempt until ContinueAnswer instead of delivering it. Another attempt resumes the
+    /// stream after the last delivered event, so later events of this attempt would reach the caller twice.
     struct HoldAnswer {
         AttemptId attempt;
     };
 
-    /// Deliver what was held back, and what follows.
+    /// Deliver the answer that HoldAnswer buffered, and all further events of the attempt.
     struct ContinueAnswer {
         AttemptId attempt;
     };
 
-    /// Ask the first stage at which stage a running stream stands still.
+    /// Ask the first stage at which stage a running stream is stalled.
     struct AskStalledStage {
         AttemptId attempt;
         RequestId call;
         std::string address; ///< of the first stage
     };
 
-    /// Ask an engine whether it lives and how slow it is.
+    /// Send a health check to an engine, which reports whether it is alive and how slow it is.
     struct CheckEngine {
         BackendId engine;
         std::string address;
-        StartTime startedAt {}; ///< the start that is known
+        StartTime startedAt {}; ///< last known start
     };
 
-    /// Ask a plain server which start of it answers: it gives no report.
+    /// Probe a plain service's server, which answers no health check of engines, for the start that is running.
     struct ProbeServer {
         BackendId server;
         std::string address;
-        std::string path; ///< of its service's health check
+        std::string path; ///< path of its service's health endpoint
     };
 
-    /// Tell the other instances under which requests servers ended.
+    /// Report to the other instances which servers ended while they ran which requests.
     struct ShareCrashes {
         std::vector<CrashReport> crashes;
     };
 
-    /// Tell the other instances that a request under which servers ended has run soundly.
+    /// Report to the other instances that a request suspected of crashing servers has run without a crash.
     struct ShareSoundRequest {
         RequestIdentity request;
     };
 
-    /// A server ended under a request; for the log.
+    /// Log that a server ended while it ran a request.
     struct NoteCrash {
         CrashReport crash;
-        bool counts = false; ///< false: others ended in the same moment
+        bool counts = false; ///< whether it counts against the request; false if other servers ended at that moment
     };
 
-    /// A request is sent to no server from now on.
+    /// Quarantine a request: from now on it is sent to no server.
     struct QuarantineRequest {
         RequestIdentity request;
-        std::uint32_t servers = 0; ///< that ended under it, as far as this instance knows
-        std::uint32_t points = 0; ///< of evidence
-        bool isOwn = false; ///< this instance came to it first: it writes the verdict down
+        std::uint32_t servers = 0; ///< servers known to this instance that ended while they ran the request
+        std::uint32_t points = 0; ///< points of evidence against the request
+        bool isOwn = false; ///< whether this instance's own observation led to this, so it writes the store entry first
     };
 
-    /// Nothing is held against a request any more.
+    /// Drop all evidence against a request.
     struct ClearRequest {
         RequestIdentity request;
-        bool wasQuarantined = false;
-        bool isOwn = false; ///< this instance saw it run
+        bool wasQuarantined = false; ///< whether this ends a quarantine
+        bool isOwn = false; ///< whether this instance itself observed that the request runs without a crash
     };
 
-    /// Tell the other instances what a check found of an engine.
+    /// Report to the other instances what a health check of an engine found.
     struct ShareFinding {
         enum class Finding {
-            Dead,
-            Closed, ///< it has room and takes no new work: it leaves, or gives up its layers
+            Dead, ///< the engine did not answer
+            Closed, ///< the engine accepts no new calls despite free capacity, because it leaves or gives up layers
         };
         BackendId engine;
-        StartTime startedAt {};
+        StartTime startedAt {}; ///< start that was checked
         Finding finding = Finding::Dead;
     };
 
-    /// A belief about a backend server changed on another's word; for the log.
+    /// Log that the assumed state of a backend server changed.
     struct NoteBelief {
         enum class Belief {
-            ProcessEnded, ///< no process listens there, or its entry ended as it did not answer
-            StartEnded, ///< a later start took its place: what ran there is lost
-            EntryOutdated, ///< it is listed, by an entry of a start that has ended
-            EntryUnusable, ///< it names a service or layers that the configuration does not know
-            Reinstated, ///< what was held to have followed it is gone
-            ReportedDead, ///< another instance found it dead, and an own stream is silent there
-            Closed, ///< it turned a call of this instance away and has room: it takes no new work
-            ReportedClosed, ///< the same, on another instance's word
+            ProcessEnded, ///< no process listens at its address, or its entry was removed while it did not answer
+            StartEnded, ///< a later start took its place, so all work that ran there is lost
+            EntryOutdated, ///< its registry entry describes a start that has ended
+            EntryUnusable, ///< its registry entry names a service or layers that the configuration does not have
+            Reinstated, ///< it was removed, so the server that it had supposedly replaced is used again
+            ReportedDead, ///< another instance found it dead, and a stream of this instance through it is silent
+            Closed, ///< it rejected a call of this instance despite free capacity, so it accepts no new calls
+            ReportedClosed, ///< another instance reported that it accepts no new calls despite free capacity
         };
         Belief belief;
         BackendId server;
-        StartTime startedAt {};
+        StartTime startedAt {}; ///< start in the entry or report that caused the change; zero if unknown
     };
 
-    /// Order the first stage to go on with a running stream over another chain, which begins with the same stage. The
-    /// stages that stay keep their KV cache.
+    /// Order the first stage to continue a running stream over another chain that has the same first stage. Stages that
+    /// are part of both chains keep their KV cache.
     struct RerouteAttempt {
         AttemptId attempt;
         RequestId call;
@@ -142,25 +142,25 @@
         Chain chain;
     };
 
-    /// The final answer to a call of which nothing was delivered.
+    /// Refuse a call of which no part of an answer was delivered. This is its final answer.
     struct Refuse {
         RequestId call;
         Reason reason = Reason::NoCapacity;
-        RunState run = RunState::NotRun;
-        Duration retryAfter {}; ///< zero: no use in coming back
-        std::optional<RetryLimit> limit {}; ///< what kept it from another attempt; none: no attempt failed
+        RunState run = RunState::NotRun; ///< whether the call may have run at a server
+        Duration retryAfter {}; ///< when the caller should retry; zero if a retry is useless
+        std::optional<RetryLimit> limit {}; ///< what prevented another attempt; nothing if no attempt failed
     };
 
-    /// The final answer: the failure that a server gave, which the shell keeps.
+    /// Deliver the failure that a server answered, which the shell has stored, as the final answer.
     struct DeliverServerFailure {
         RequestId call;
     };
 
-    /// End a partly delivered answer so that it cannot look complete.
+    /// End a partly delivered answer in a way that the caller cannot mistake for its complete end.
     struct BreakAnswer {
         RequestId call;
         Reason reason = Reason::ConnectionLost;
-        std::optional<RetryLimit> limit {}; ///< what kept it from another attempt
+        std::optional<RetryLimit> limit {}; ///< what prevented another attempt
     };
 
 } // namespace effect
--- a/src/relay/RelayEvent.h
+++ b/src/relay/RelayEvent.h
@@ -16,34 +16,37 @@
 
 /// How an attempt at a backend server ended.
 enum class AttemptResult {
-    Completed, ///< the whole answer, a success, was handed over
-    ServerFailure, ///< the server's own failure, whole and kept by the shell; it counts as run
-    NotRun, ///< the server says that it did not run the call
-    ConnectFailed, ///< no byte of the call was sent
-    Broken, ///< after bytes were sent: no answer, a part of one, or bytes that are none
+    Completed, ///< a successful answer was delivered completely
+    ServerFailure, ///< the server answered with a complete failure, which the shell stores; the call counts as run
+    NotRun, ///< the server stated that it did not run the call
+    ConnectFailed, ///< no connection, so no byte of the call was sent
+    Broken, ///< bytes were sent, and the answer is missing, incomplete or malformed
 };
 
-/// @return the snake_case name used in logs
+/// @return the snake_case name for logs
 const char* toString(AttemptResult);
 
-/// The closed family of the relay's events.
+/// The events that RelayReducer handles.
 namespace event {
 
+    /// A new configuration is in effect.
     struct ConfigurationAccepted {
         std::shared_ptr<const RouteTable> routes;
     };
 
+    /// The registry entry of a backend server was added or changed.
     struct ServerRegistered {
         RegisteredServer server;
     };
 
+    /// The registry entry of a backend server was removed.
     struct ServerUnregistered {
         BackendId server;
     };
 
-    /// How many instances share the backend servers, this one included.
+    /// Reports how many instances share the backend servers.
     struct InstancesCounted {
-        std::uint32_t instances = 1;
+        std::uint32_t instances = 1; ///< including this one
     };
 
     /// Reports whether the local copy of the store lacks changes that a peer has, or may lack changes because the store
@@ -52,11 +55,12 @@
         bool isOutdated = false;
     };
 
-    /// What the other instances have running on the engines, by engineKey; nothing where that is not known.
+    /// The other instances' load on the engines was reported, or became unknown.
     struct LoadsReported {
-        std::optional<EngineLoads> loads;
+        std::optional<EngineLoads> loads; ///< by engineKey; nothing if unknown
     };
 
+    /// A caller has sent a call.
     struct CallArrived {
         RequestId call;
         CallSpec spec;
@@ -67,89 +71,90 @@
         RequestId call;
     };
 
-    /// Bytes of the call go out: from here on it may have run.
+    /// The first bytes of the call were sent. The server may have run the call from now on.
     struct AttemptSent {
         AttemptId attempt;
     };
 
-    /// The head of a success came: the server has begun to run the call.
+    /// The header of a successful answer arrived, so the server has begun to run the call.
     struct AnswerBegun {
         AttemptId attempt;
     };
 
-    /// A whole event of a stream was handed to the caller.
+    /// A complete event of a stream was delivered to the caller.
     struct EventDelivered {
         AttemptId attempt;
         std::uint64_t eventId = 0;
     };
 
+    /// An attempt has ended.
     struct AttemptEnded {
         AttemptId attempt;
         AttemptResult result = AttemptResult::Broken;
-        unsigned status = 0; ///< of the server's answer, if there was one
-        std::string culprit; ///< address of the stage that the server names; empty if none
+        unsigned status = 0; ///< HTTP status of the server's answer; zero if none
+        std::string culprit; ///< address of the stage that the server blames; empty if none
     };
 
-    /// The answer to an order to go on over another chain.
+    /// The first stage answered effect::RerouteAttempt.
     struct RerouteAnswered {
         AttemptId attempt;
         bool accepted = false;
-        std::string culprit {}; ///< address of the stage that it failed at; empty if none is named
+        std::string culprit {}; ///< address of the stage at which rerouting failed; empty if none is named
     };
 
-    /// The first stage's answer to the question at which stage a stream stands still.
+    /// The first stage answered effect::AskStalledStage.
     struct StalledStageNamed {
         AttemptId attempt;
-        std::string address; ///< of that stage; empty: the first stage knows of none
+        std::string address; ///< of the stage where the stream is stalled; empty if the first stage knows of none
     };
 
-    /// An engine's answer to a check.
+    /// A health check of an engine was answered or has failed.
     struct EngineChecked {
         BackendId engine;
         bool answered = false;
-        double slowness = 1; ///< its work takes this many times as long as its card's figures say
-        bool refused = false; ///< not answered, and its machine says that no process listens there
-        StartTime asked {}; ///< the start that was believed when it was asked
-        StartTime answering {}; ///< the start that answered, as far as it says so
-        LayerRange layers {}; ///< that it holds, as it answers
-        std::uint32_t queued = 0; ///< requests that wait there for a place
-        double memoryUsed = 1; ///< part of its memory for requests that is taken
+        double slowness = 1; ///< reported step time as a multiple of the usual one of its accelerator
+        bool refused = false; ///< not answered, and the connection was refused: no process listens there
+        StartTime asked {}; ///< start that was known when the check was sent
+        StartTime answering {}; ///< start that answered; zero if the answer names none
+        LayerRange layers {}; ///< layers that the engine reports to hold
+        std::uint32_t queued = 0; ///< requests waiting for a slot of the engine
+        double memoryUsed = 1; ///< fraction of the engine's KV cache memory in use; 1 if unknown
     };
 
-    /// An engine said when it started, in its answer to an order.
+    /// An engine named its start time in its answer to a placement or reroute order.
     struct EngineStartSeen {
         BackendId engine;
         StartTime startedAt;
     };
 
-    /// Another instance's checks found engines dead.
+    /// Another instance reported engines that did not answer its health checks.
     struct EnginesReportedDead {
-        std::vector<std::uint64_t> engines; ///< their keys, see engineKey
+        std::vector<std::uint64_t> engines; ///< by engineKey
     };
 
-    /// Another instance was turned away by engines that have room: they take no new work.
+    /// Another instance reported engines that reject calls despite free capacity, so they accept no new calls.
     struct EnginesReportedClosed {
-        std::vector<std::uint64_t> engines; ///< their keys, see engineKey
+        std::vector<std::uint64_t> engines; ///< by engineKey
     };
 
-    /// A plain server was asked which start of it answers.
+    /// A probe of a plain service's server ended, see effect::ProbeServer.
     struct ServerProbed {
         enum class Finding {
-            Alive, ///< the start that was asked answered
+            Alive, ///< the start that was probed answered
             Ended, ///< another start answered, or no process listens there
-            Unknown, ///< no answer, or one that names no start: what accepts connections may be a proxy before it
+            Unknown, ///< no answer, or an answer that names no start, which may come from a proxy before the server
         };
 
         BackendId server;
         Finding finding = Finding::Unknown;
     };
 
-    /// Another instance saw servers end under requests.
+    /// Another instance reported servers that ended while they ran requests.
     struct CrashesReported {
         std::vector<CrashReport> crashes;
     };
 
-    /// Requests that another instance has seen run soundly.
+    /// Another instance reported requests that run without crashing a server.
     struct SoundRequestsReported {
         std::vector<RequestIdentity> requests;
     };
@@ -159,13 +164,15 @@
         RequestIdentity request;
     };
 
-    /// It lists it no longer.
+    /// The store no longer lists a request as quarantined.
     struct QuarantineLifted {
         RequestIdentity request;
     };
 
+    /// This instance was told to finish its calls and exit.
     struct DrainRequested { };
 
+    /// The periodic timer fired.
     struct Tick { };
 
 } // namespace event
@@ -177,10 +184,10 @@
     event::SoundRequestsReported, event::QuarantineListed, event::QuarantineLifted, event::EngineStartSeen,
     event::EnginesReportedDead, event::EnginesReportedClosed, event::DrainRequested, event::Tick>;
 
-/// Something that happened, with all the time and entropy that the relay may use for it.
+/// An event, with the only time and randomness that the reducer may use to handle it.
 struct RelayEvent {
     TimePoint now;
-    std::uint64_t entropy = 0;
+    std::uint64_t entropy = 0; ///< uniformly random
     RelayEventBody body;
 };
 
--- a/src/relay/ServerFleet.cpp
+++ b/src/relay/ServerFleet.cpp
@@ -6,54 +6,60 @@
 
 namespace {
 
-    /// Weight of a new sample; about the last ten decide.
-    constexpr double SampleWeight = 0.1;
-    /// A failure's weight: three in a row bring the rate above a half.
+    /// Weight of a success in the moving average of the failure rate. About the last ten attempts determine the
+    /// average.
+    constexpr double SuccessWeight = 0.1;
+    /// Weight of a failure in the moving average of the failure rate. Three consecutive failures raise the rate above
+    /// 0.5.
     constexpr double FailureWeight = 0.25;
-    constexpr Duration FirstAvoidance = std::chrono::milliseconds(500);
-    /// How long a server is left alone after it turned a call away; some streams end within this time.
-    constexpr Duration FullPause = std::chrono::milliseconds(250);
-    /// Calls turned away in a row, without an event through the server, that are more than a full memory.
-    constexpr std::uint32_t TroubleRejections = 3;
-    /// How long an engine that did not answer a check is left alone; it is checked again before.
+    /// How long a server is avoided after its first consecutive failure.
+    constexpr Duration FirstFailureAvoidance = std::chrono::milliseconds(500);
+    /// How long a server is avoided after it rejected a call. A few streams usually end within this time.
+    constexpr Duration FirstRejectionAvoidance = std::chrono::milliseconds(250);
+    /// Consecutive rejections without an event through the server after which it is not just out of memory.
+    constexpr std::uint32_t UnhealthyRejections = 3;
+    /// How long an engine counts as dead after an unanswered health check. The next check is sent before this ends.
     constexpr Duration DeadPause = std::chrono::milliseconds(700);
-    /// An engine behind a cut is back without a word; one whose process has ended registers again.
-    constexpr std::uint32_t SilentDoublings = 1;
-    /// How long an engine that takes no new work is sent none. The list shows a leaving one within a heartbeat, where
-    /// the store answers; one that gives up layers is busy for seconds.
+    /// Limit of doublings of DeadPause while health checks time out. An engine behind a network partition comes back
+    /// without notice, so it must be checked often. An engine whose process has ended registers again.
+    constexpr std::uint32_t MaxTimeoutDoublings = 1;
+    /// How long an engine that accepts no new calls is sent none. If the store is available, the registry shows a
+    /// leaving engine within one heartbeat. An engine that gives up layers is busy for seconds.
     constexpr Duration ClosedPause = std::chrono::milliseconds(2000);
-    /// How long it is remembered that a server has left; calls last for less.
-    constexpr Duration LeftMemory = std::chrono::minutes(1);
-    constexpr std::uint32_t MostDoublings = 3; ///< longest avoidance: 4 s, about the time a dead server stays listed
+    /// How long servers that left are remembered. Calls are shorter than this.
+    constexpr Duration LeftServerRetention = std::chrono::minutes(1);
+    /// Limit of doublings of an avoidance. The longest one, 4 s, is about the time that a dead server stays registered.
+    constexpr std::uint32_t MaxDoublings = 3;
 
 } // namespace
 
 EngineLoad FleetServer::ownLoad(TimePoint now) const
 {
-    return { others.engine, ownTokenLayers, static_cast<double>(ownCalls), now < troubleUntil ? 1.0 : 0.0 };
+    return { others.engine, ownTokenLayers, static_cast<double>(ownCalls), now < unhealthyUntil ? 1.0 : 0.0 };
 }
 
 Registration ServerFleet::upsert(const RegisteredServer& entry, TimePoint now)
 {
     Registration result;
-    const BackendId before = m_starts.occupantOf(entry.address);
-    const StartStanding standing = m_starts.note(entry, now);
-    if (standing == StartStanding::Ended) {
-        m_outdated[entry.id] = entry;
+    const BackendId previousId = m_starts.occupantOf(entry.address);
+    const ServerStartStatus startStatus = m_starts.observe(entry, now);
+    if (startStatus == ServerStartStatus::Ended) {
+        m_outdatedEntries[entry.id] = entry;
         result.outdated = true;
         return result;
     }
-    m_outdated.erase(entry.id);
-    m_left.erase(entry.id);
-    if (before != entry.id) {
-        const auto other = m_servers.find(before);
-        if (other != m_servers.end() && other->second.entry.address == entry.address) {
-            m_outdated[before] = other->second.entry;
-            result.ended.push_back(std::move(other->second));
-            m_servers.erase(other);
+    m_outdatedEntries.erase(entry.id);
+    m_leftAt.erase(entry.id);
+    if (previousId != entry.id) {
+        const auto previous = m_servers.find(previousId);
+        if (previous != m_servers.end() && previous->second.entry.address == entry.address) {
+            m_outdatedEntries[previousId] = previous->second.entry;
+            result.ended.push_back(std::move(previous->second));
+            m_servers.erase(previous);
         }
     }
-    if (const auto known = m_servers.find(entry.id); standing == StartStanding::New && known != m_servers.end()) {
+    if (const auto known = m_servers.find(entry.id);
+        startStatus == ServerStartStatus::New && known != m_servers.end()) {
         result.ended.push_back(std::move(known->second));
         m_servers.erase(known);
     }
@@ -70,21 +76,21 @@
 
 bool ServerFleet::remove(const BackendId& id, TimePoint now)
 {
-    m_outdated.erase(id);
+    m_outdatedEntries.erase(id);
     const auto gone = m_servers.find(id);
     if (gone == m_servers.end())
         return false;
     const RegisteredServer last = gone->second.entry;
     m_servers.erase(gone);
-    std::erase_if(m_left, [&](const auto& each) { return now > each.second + LeftMemory; });
+    std::erase_if(m_leftAt, [&](const auto& each) { return now > each.second + LeftServerRetention; });
     if (last.leaving)
-        m_left[id] = now;
-    // Where both say when they started, the outdated one has ended for certain.
-    const auto next = std::find_if(m_outdated.begin(), m_outdated.end(), [&](const auto& each) {
+        m_leftAt[id] = now;
+    // If both entries have a start time, the outdated start has certainly ended and must not be used again.
+    const auto next = std::find_if(m_outdatedEntries.begin(), m_outdatedEntries.end(), [&](const auto& each) {
         const bool certain = each.second.startedAt.value() && last.startedAt.value();
         return each.second.address == last.address && !certain;
     });
-    if (next == m_outdated.end())
+    if (next == m_outdatedEntries.end())
         return false;
     const RegisteredServer entry = next->second;
     m_starts.reinstate(entry, now);
@@ -137,14 +143,14 @@
 
 void ServerFleet::setOthersLoad(const std::optional<EngineLoads>& loads, TimePoint now)
 {
-    m_knowsOthers = loads.has_value();
+    m_knowsOthersLoad = loads.has_value();
     for (auto& [id, server] : m_servers) {
-        EngineLoad heard { server.others.engine };
+        EngineLoad load { server.others.engine };
         if (loads) {
-            if (const auto found = loads->find(heard.engine); found != loads->end())
-                heard = found->second;
+            if (const auto found = loads->find(load.engine); found != loads->end())
+                load = found->second;
         }
-        server.others = heard;
+        server.others = load;
         server.reported = server.ownLoad(now);
     }
 }
@@ -167,7 +173,7 @@
             server->lastProgress = now;
             server->lastAliveAt = now;
             server->rejectionsInRow = 0;
-            server->troubleUntil = {};
+            server->unhealthyUntil = {};
         }
     }
 }
@@ -188,10 +194,10 @@
     if (!server)
         return;
     server->failureRate += FailureWeight * (1 - server->failureRate);
-    const Duration avoidance = FirstAvoidance * (1U << std::min(server->failuresInRow, MostDoublings));
+    const Duration avoidance = FirstFailureAvoidance * (1U << std::min(server->consecutiveFailures, MaxDoublings));
     server->avoidUntil = std::max(server->avoidUntil, now + avoidance);
-    server->troubleUntil = server->avoidUntil;
-    ++server->failuresInRow;
+    server->unhealthyUntil = server->avoidUntil;
+    ++server->consecutiveFailures;
 }
 
 void ServerFleet::succeeded(const BackendId& id)
@@ -199,8 +205,8 @@
     FleetServer* server = find(id);
     if (!server)
         return;
-    server->failureRate -= SampleWeight * server->failureRate;
-    server->failuresInRow = 0;
+    server->failureRate -= SuccessWeight * server->failureRate;
+    server->consecutiveFailures = 0;
 }
 
 void ServerFleet::turnedAway(const BackendId& id, TimePoint now)
@@ -211,10 +217,10 @@
     server->turnedAwayAt = now;
     server->closedCheckDue = true;
     m_checkCandidates.insert(id);
-    const TimePoint until = now + FullPause * (1U << std::min(server->rejectionsInRow, MostDoublings));
+    const TimePoint until = now + FirstRejectionAvoidance * (1U << std::min(server->rejectionsInRow, MaxDoublings));
     server->avoidUntil = std::max(server->avoidUntil, until);
-    if (++server->rejectionsInRow >= TroubleRejections)
-        server->troubleUntil = server->avoidUntil;
+    if (++server->rejectionsInRow >= UnhealthyRejections)
+        server->unhealthyUntil = server->avoidUntil;
 }
 
 void ServerFleet::accepted(const Chain& chain, TimePoint now)
@@ -252,7 +258,7 @@
         return;
     server->beingChecked = false;
     server->refusedCheck = refused;
-    const std::uint32_t doublings = std::min(server->unansweredChecks, refused ? MostDoublings : SilentDoublings);
+    const std::uint32_t doublings = std::min(server->unansweredChecks, refused ? MaxDoublings : MaxTimeoutDoublings);
     ++server->unansweredChecks;
     server->deadUntil = now + DeadPause * (1U << doublings);
     m_checkCandidates.insert(id);
@@ -275,7 +281,7 @@
     if (!server)
         return;
     server->avoidUntil = std::max(server->avoidUntil, until);
-    server->troubleUntil = server->avoidUntil;
+    server->unhealthyUntil = server->avoidUntil;
 }
 
 } // namespace crocusmount::relay
--- a/src/relay/ServerFleet.h
+++ b/src/relay/ServerFleet.h
@@ -4,7 +4,7 @@
 #include "crocusmount/Time.h"
 #include "relay/LoadReport.h"
 #include "relay/RegisteredServer.h"
-#include "relay/StartLedger.h"
+#include "relay/ServerStartTracker.h"
 
 #include <map>
 #include <optional>
@@ -13,113 +13,125 @@
 
 namespace crocusmount::relay {
 
-/// One backend server: what is registered, and what this instance has seen of it.
+/// One backend server: its registry entry, and what this instance has observed about it.
 struct FleetServer {
     RegisteredServer entry;
-    std::uint32_t ownCalls = 0; ///< of this instance, running there as first stage or alone
-    double ownTokenLayers = 0; ///< KV cache that this instance's calls hold there, estimated
-    EngineLoad reported; ///< what this instance's calls held when the other instances were last heard
-    EngineLoad others; ///< what the other instances' calls held then
-    double failureRate = 0; ///< moving average of failed over all attempts
-    std::uint32_t failuresInRow = 0;
-    std::uint32_t rejectionsInRow = 0; ///< calls turned away since the last event through it
-    TimePoint avoidUntil; ///< no new work before, where another server will do
-    TimePoint troubleUntil; ///< the same, but only after signs that no call at all gets through
-    TimePoint lastProgress; ///< last event of any call through it
-    TimePoint lastAliveAt; ///< last event, start of an answer, or sending of a check that it answered
-    double slowness = 1; ///< its work takes this many times as long as its card's figures say, as it last reported
-    TimePoint listedAt; ///< when its entry last changed: it wrote that shortly before
-    TimePoint lastCheck; ///< when it was last asked
-    bool beingChecked = false;
-    std::optional<TimePoint> nextProbe; ///< its last probe did not tell whether it lives
-    TimePoint sweptAt; ///< when it was last suspected for the death of another engine
-    TimePoint deadUntil; ///< it did not answer a check; taken for dead until then
-    std::uint32_t unansweredChecks = 0; ///< in a row
-    bool refusedCheck = false; ///< its machine said that no process listens there: it is dead for certain
-
-    TimePoint turnedAwayAt; ///< when it last turned a call of this instance away
-    TimePoint acceptedAt; ///< when a new call through it last had its first event
-    bool closedCheckDue = false; ///< it is to be asked whether it had room when it turned that call away
-    TimePoint closedUntil; ///< it has room and takes no new work; none is sent before
-
-    /// @return whether it runs a model; servers of plain services give no report
+    std::uint32_t ownCalls = 0; ///< running calls of this instance with this server as first stage or only server
+    double ownTokenLayers = 0; ///< estimated KV cache of this instance's calls on this server, in tokens times layers
+    EngineLoad reported; ///< load of this instance's calls when the last reports of other instances were applied
+    EngineLoad others; ///< load of the other instances' calls by the last reports; its engine key is always set
+    double failureRate = 0; ///< moving average of the fraction of attempts that failed
+    std::uint32_t consecutiveFailures = 0;
+    std::uint32_t rejectionsInRow = 0; ///< calls rejected since the last event of any call through this server
+    TimePoint avoidUntil; ///< until then, new work goes to other servers where possible
+    /// End of the last avoidance due to a sign that this server accepts no calls at all, not just that it is full.
+    /// Until then, this instance reports to others that it avoids the server.
+    TimePoint unhealthyUntil;
+    TimePoint lastProgress; ///< last event of any call through this server
+    TimePoint lastAliveAt; ///< last event, start of an answer, or sending of a health check that was answered
+    double slowness = 1; ///< last reported step time as a multiple of the usual one of its accelerator
+    TimePoint listedAt; ///< last change of the registry entry, which the server wrote shortly before
+    TimePoint lastCheck; ///< when the last health check or probe was sent
+    bool beingChecked = false; ///< whether a health check or probe is in flight
+    std::optional<TimePoint> nextProbe; ///< when to repeat a probe that could not tell whether the server is alive
+    TimePoint sweptAt; ///< when this server was last suspected of having died together with another engine
+    TimePoint deadUntil; ///< until then, considered dead after an unanswered health check or another instance's report
+    std::uint32_t unansweredChecks = 0; ///< consecutive unanswered health checks
+    bool refusedCheck = false; ///< the last health check was refused: no process listens there, so the server is dead
+
+    TimePoint turnedAwayAt; ///< when this server last rejected a call of this instance
+    TimePoint acceptedAt; ///< when a new call through this server last had its first event
+    bool closedCheckDue = false; ///< whether to ask if this server had free capacity when it last rejected a call
+    TimePoint closedUntil; ///< until then, no new calls are sent: the server rejects them despite free capacity
+
+    /// @return whether this server runs a model, as opposed to a plain service, whose servers report no load
     bool isEngine() const { return !entry.accelerator.empty(); }
     bool isDead(TimePoint now) const { return now < deadUntil; }
     bool isClosed(TimePoint now) const { return now < closedUntil; }
 
-    /// @return what this instance tells others of it
+    /// @return the load report of this instance about this server
     EngineLoad ownLoad(TimePoint now) const;
 };
 
-/// What an entry of the registry changed.
+/// Result of ServerFleet::upsert.
 struct Registration {
-    bool changed = false; ///< anything that placement or routing depends on
-    bool outdated = false; ///< it is of a start that has ended; it changed nothing
-    std::vector<FleetServer> ended {}; ///< servers whose known start has ended: all that ran there is lost
+    bool changed = false; ///< whether anything changed that placement or routing depends on
+    bool outdated = false; ///< whether the entry was ignored because it describes an ended start
+    std::vector<FleetServer> ended {}; ///< servers whose last known start has ended and whose work is lost
 };
 
 /// All registered backend servers.
 class ServerFleet {
 public:
-    /// Takes in an entry. What is known of a server is known of one start of it: a new start begins at nothing.
+    /// Adds or updates a server from its registry entry. A new start of a server begins with empty state, because all
+    /// observations apply to one start only.
     Registration upsert(const RegisteredServer&, TimePoint now);
-    /// @return whether another server takes its place, one whose entry was held to be outdated
+    /// Removes a server whose registry entry is gone.
+    /// @return whether another server at its address, whose entry had been ignored as outdated, takes its place
     bool remove(const BackendId&, TimePoint now);
 
-    /// @return whether a later start is known to have taken a server's place
+    /// @return whether a later start has replaced the latest known start of a server
     bool hasEnded(const BackendId& id) const { return m_starts.hasEnded(id); }
 
-    /// @return whether a server has left: it said that it would, and then its entry ended
-    bool hasLeft(const BackendId& id) const { return m_left.count(id) > 0; }
+    /// @return whether a server announced that it was leaving and was then removed recently
+    bool hasLeft(const BackendId& id) const { return m_leftAt.count(id) > 0; }
 
     const std::map<BackendId, FleetServer>& servers() const { return m_servers; }
-    /// Returns the servers that may need a check. Removes those that no longer do from the index.
-    /// @return ids of servers that are dead, slow, or have turned a call away since they were last checked for it
+    /// Returns the servers that may need a health check. Removes those that no longer do from the index.
+    /// @return ids of servers that are dead, slow, or have closedCheckDue set
     const std::set<BackendId>& checkCandidates(TimePoint now);
     FleetServer* find(const BackendId&);
     FleetServer* findByAddress(const std::string& address);
 
-    /// Books a call's KV cache on each stage. @param tokens  prompt and expected answer
+    /// Adds a call's estimated KV cache to each stage of its chain, and the call to the first stage.
+    /// @param tokens  prompt and expected answer
     void book(const Chain&, double tokens);
+    /// Reverts book().
     void unbook(const Chain&, double tokens);
-    /// Takes in what the other instances hold on each engine, by engineKey; nothing: that is not known.
-    void setOthersLoad(const std::optional<EngineLoads>&, TimePoint now);
-    bool knowsOthersLoad() const { return m_knowsOthers; }
-    /// @return what this instance's calls hold on each engine that they use
+    /// Sets the load that the other instances report on each engine.
+    /// @param loads  by engineKey, or nothing if unknown
+    void setOthersLoad(const std::optional<EngineLoads>& loads, TimePoint now);
+    bool knowsOthersLoad() const { return m_knowsOthersLoad; }
+    /// @return this instance's load reports about the engines that its calls use or that it avoids
     std::vector<EngineLoad> ownLoads(TimePoint now) const;
 
+    /// Records an event of a call that runs through a chain.
     void progressed(const Chain&, TimePoint now);
-    /// Notes that an attempt's answer began, which shows that its server and all stages of its chain were alive.
+    /// Records the start of an attempt's answer, which shows that its server and all stages of its chain were alive.
     void answerBegun(const BackendId&, const Chain&, TimePoint now);
 
-    /// Notes a failed attempt: the server is avoided for a time that doubles with each failure in a row.
+    /// Records a failed attempt. The server is avoided for a time that doubles with each consecutive failure.
     void failed(const BackendId&, TimePoint now);
+    /// Records a successful attempt.
     void succeeded(const BackendId&);
-    /// Notes that a server turned a call away. A full one has room again as soon as some streams end; one that turns
-    /// call after call away while nothing comes from it, as in a drain that the list does not show yet, is avoided for
-    /// a time that doubles.
+    /// Records that a server rejected a call. The server is avoided for a short time, since a full server has free
+    /// capacity again when a few streams end. This time doubles while the server rejects call after call without an
+    /// event through it, as in a drain that the registry does not show yet.
     void turnedAway(const BackendId&, TimePoint now);
-    /// Notes that a new call through a chain had its first event.
+    /// Records the first event of a new call through a chain.
     void accepted(const Chain&, TimePoint now);
-    /// Notes that an engine takes no new work though it has room.
+    /// Records that an engine accepts no new calls despite free capacity.
     void closed(const BackendId&, TimePoint now);
-    /// Notes that a server stands still. @param until  it is avoided so long
+    /// Avoids a server that has stalled or is expected to reject all calls.
+    /// @param until  end of the avoidance
     void suspect(const BackendId&, TimePoint until);
-    /// Notes that an engine answered a check. @param slowness  as it reports
+    /// Records the answer of an engine to a health check.
+    /// @param slowness  as reported by the engine
     void answeredCheck(const BackendId&, double slowness);
-    /// Notes that an engine did not answer a check. It is left alone for longer each time.
-    /// @param refused  its machine says that no process listens there
+    /// Records an unanswered health check. The engine is considered dead for a time that grows with consecutive
+    /// unanswered checks.
+    /// @param refused  whether the connection was refused, which means that no process listens there
     void missedCheck(const BackendId&, bool refused, TimePoint now);
-    /// Notes that another instance found it dead, which what this one sees confirms.
+    /// Records another instance's report that an engine is dead, if a silent stream of this instance confirms it.
     void reportedDead(const BackendId&, TimePoint now);
 
 private:
     std::map<BackendId, FleetServer> m_servers;
     std::set<BackendId> m_checkCandidates; ///< index that avoids a scan of all servers on each tick
-    std::map<BackendId, RegisteredServer> m_outdated; ///< entries that are listed, of starts that have ended
-    std::map<BackendId, TimePoint> m_left; ///< servers that have left lately, with the time
-    StartLedger m_starts;
-    bool m_knowsOthers = false;
+    std::map<BackendId, RegisteredServer> m_outdatedEntries; ///< listed entries of ended starts
+    std::map<BackendId, TimePoint> m_leftAt; ///< removal times of servers that left recently
+    ServerStartTracker m_starts;
+    bool m_knowsOthersLoad = false;
 };
 
 } // namespace crocusmount::relay
--- a/src/relay/StartLedger.cpp
+++ b/src/relay/ServerStartTracker.cpp
@@ -1,4 +1,4 @@
-#include "relay/StartLedger.h"
+#include "relay/ServerStartTracker.h"
 
 #include "relay/RegisteredServer.h"
 
@@ -6,35 +6,36 @@
 
 namespace {
 
-    /// How long an ended start is remembered. Entries come back some four seconds late; ten minutes leave room for an
-    /// outage of the store.
-    constexpr Duration Memory = std::chrono::minutes(10);
+    /// How long an ended start is remembered. Its entries reappear up to about four seconds late, and much later after
+    /// an outage of the store.
+    constexpr Duration EndedStartRetention = std::chrono::minutes(10);
     constexpr Duration ForgetInterval = std::chrono::minutes(1);
 
     bool bothKnown(StartTime one, StartTime other) { return one.value() && other.value(); }
 
 } // namespace
 
-StartStanding StartLedger::note(const RegisteredServer& server, TimePoint now)
+ServerStartStatus ServerStartTracker::observe(const RegisteredServer& server, TimePoint now)
 {
     forgetEnded(now);
     const auto known = m_starts.find(server.id);
-    const bool isFirstWord = known == m_starts.end();
+    const bool isNewId = known == m_starts.end();
     bool isLaterStart = false;
-    if (!isFirstWord) {
+    if (!isNewId) {
         Start& start = known->second;
         start.lastSeen = now;
         isLaterStart = server.startedAt.value() && start.time < server.startedAt;
-        // A server that once said when it started always does: an entry without it is not its own.
+        // A server that has published a start time always publishes one, so an entry without a start time is from an
+        // earlier start.
         if (server.startedAt < start.time || (start.ended && !isLaterStart))
-            return StartStanding::Ended;
+            return ServerStartStatus::Ended;
     }
     const auto occupant = m_occupants.find(server.address);
     if (occupant != m_occupants.end() && occupant->second != server.id) {
         Start& other = m_starts[occupant->second];
-        if (!followsOccupant(server, other, isFirstWord)) {
+        if (!isSuccessor(server, other, isNewId)) {
             m_starts[server.id] = { server.startedAt, server.address, now, true };
-            return StartStanding::Ended;
+            return ServerStartStatus::Ended;
         }
         if (other.address == server.address) {
             other.ended = true;
@@ -43,40 +44,41 @@
     }
     m_occupants[server.address] = server.id;
     m_starts[server.id] = { server.startedAt, server.address, now, false };
-    return isFirstWord || isLaterStart ? StartStanding::New : StartStanding::Known;
+    return isNewId || isLaterStart ? ServerStartStatus::New : ServerStartStatus::Known;
 }
 
-bool StartLedger::followsOccupant(const RegisteredServer& server, const Start& occupant, bool isFirstWord) const
+bool ServerStartTracker::isSuccessor(const RegisteredServer& server, const Start& occupant, bool isNewId) const
 {
     if (occupant.address != server.address)
-        return true; // It moved elsewhere.
-    return bothKnown(server.startedAt, occupant.time) ? occupant.time < server.startedAt : isFirstWord;
+        return true; // The occupant has moved to another address.
+    return bothKnown(server.startedAt, occupant.time) ? occupant.time < server.startedAt : isNewId;
 }
 
-void StartLedger::reinstate(const RegisteredServer& server, TimePoint now)
+void ServerStartTracker::reinstate(const RegisteredServer& server, TimePoint now)
 {
     m_occupants[server.address] = server.id;
     m_starts[server.id] = { server.startedAt, server.address, now, false };
 }
 
-bool StartLedger::hasEnded(const BackendId& id) const
+bool ServerStartTracker::hasEnded(const BackendId& id) const
 {
     const auto start = m_starts.find(id);
     return start != m_starts.end() && start->second.ended;
 }
 
-BackendId StartLedger::occupantOf(const std::string& address) const
+BackendId ServerStartTracker::occupantOf(const std::string& address) const
 {
     const auto occupant = m_occupants.find(address);
     return occupant == m_occupants.end() ? BackendId() : occupant->second;
 }
 
-void StartLedger::forgetEnded(TimePoint now)
+void ServerStartTracker::forgetEnded(TimePoint now)
 {
     if (now < m_lastForgotten + ForgetInterval)
         return;
     m_lastForgotten = now;
-    std::erase_if(m_starts, [&](const auto& each) { return each.second.ended && each.second.lastSeen + Memory < now; });
+    std::erase_if(m_starts,
+        [&](const auto& each) { return each.second.ended && each.second.lastSeen + EndedStartRetention < now; });
 }
 
 } // namespace crocusmount::relay
--- a/tests/ServerStartTest.cpp
+++ b/tests/ServerStartTest.cpp
@@ -1,5 +1,5 @@
 #include "admission/RetryBudget.h"
-#include "relay/StartLedger.h"
+#include "relay/ServerStartTracker.h"
 #include "tests/RelayHarness.h"
 #include "tests/Tests.h"
 
@@ -19,12 +19,12 @@
     return made;
 }
 
-const char* nameOf(StartStanding standing)
+const char* textOf(ServerStartStatus status)
 {
-    switch (standing) {
-    case StartStanding::Known:
+    switch (status) {
+    case ServerStartStatus::Known:
         return "known ";
-    case StartStanding::New:
+    case ServerStartStatus::New:
         return "new ";
     default:
         return "ended ";
@@ -33,41 +33,41 @@
 
 } // namespace
 
-// Eight engines were cut off, crashed behind the cut and started again at their addresses under new ids. When the cut
-// healed, the entries that the old processes had written reached the store after the new ones (a gone id was listed
-// again at 8.37 s with its layers, its successor at the same address at 8.12 s), and calls were sent to them for 4 s.
-TEST(ServerStart, AnEndedStartNeverComesBack)
+// Eight engines crashed during a network partition and restarted at their addresses under new ids. After the partition,
+// the registry entries of the old processes reached the store after the new ones: an ended id was listed again with its
+// layers at 8.37 s, its successor at 8.12 s. Calls were sent to the ended engines for 4 s.
+TEST(ServerStart, AnEndedStartIsNeverUsedAgain)
 {
     const struct {
         const char* name;
         std::vector<RegisteredServer> entries;
-        const char* standings;
+        const char* statuses;
     } cases[] = {
         { "an entry changes", { entry("a", 0), entry("a", 0) }, "new known " },
-        { "a new id at its address", { entry("a", 0), entry("b", 0), entry("a", 0) }, "new new ended " },
-        { "the old entry comes first", { entry("a", 0), entry("a", 0), entry("b", 0) }, "new known new " },
-        { "other addresses", { entry("a", 0), entry("b", 0, "10.0.0.2:80"), entry("a", 0) }, "new new known " },
-        { "a later start under its id", { entry("a", 5), entry("a", 9), entry("a", 5) }, "new new ended " },
-        { "the same start", { entry("a", 5), entry("a", 5) }, "new known " },
-        { "no time any more", { entry("a", 5), entry("a", 0), entry("a", 5) }, "new ended known " },
-        { "a time at last", { entry("a", 0), entry("a", 5) }, "new new " },
-        { "an earlier start at its address", { entry("b", 9), entry("a", 5) }, "new ended " },
-        { "a later start at its address", { entry("a", 5), entry("b", 9), entry("a", 5) }, "new new ended " },
-        { "the old id starts once more", { entry("a", 5), entry("b", 7), entry("a", 9) }, "new new new " },
-        { "it moved, its address is taken",
+        { "a new id at the address", { entry("a", 0), entry("b", 0), entry("a", 0) }, "new new ended " },
+        { "the old entry arrives first", { entry("a", 0), entry("a", 0), entry("b", 0) }, "new known new " },
+        { "another address", { entry("a", 0), entry("b", 0, "10.0.0.2:80"), entry("a", 0) }, "new new known " },
+        { "a later start under the id", { entry("a", 5), entry("a", 9), entry("a", 5) }, "new new ended " },
+        { "an unchanged start time", { entry("a", 5), entry("a", 5) }, "new known " },
+        { "an entry without the start time", { entry("a", 5), entry("a", 0), entry("a", 5) }, "new ended known " },
+        { "a start time for the first time", { entry("a", 0), entry("a", 5) }, "new new " },
+        { "an earlier start at the address", { entry("b", 9), entry("a", 5) }, "new ended " },
+        { "a later start at the address", { entry("a", 5), entry("b", 9), entry("a", 5) }, "new new ended " },
+        { "the old id starts again", { entry("a", 5), entry("b", 7), entry("a", 9) }, "new new new " },
+        { "the id moved, and another id took its address",
             { entry("a", 0), entry("a", 0, "10.0.0.2:80"), entry("b", 0), entry("a", 0, "10.0.0.2:80") },
             "new known new known " },
     };
     for (const auto& each : cases) {
-        StartLedger ledger;
-        std::string standings;
+        ServerStartTracker tracker;
+        std::string statuses;
         for (const RegisteredServer& server : each.entries)
-            standings += nameOf(ledger.note(server, timePoint(1)));
-        CHECK_EQUAL_TEXT(std::string(each.standings), standings, each.name);
+            statuses += textOf(tracker.observe(server, timePoint(1)));
+        CHECK_EQUAL_TEXT(std::string(each.statuses), statuses, each.name);
     }
 }
 
-TEST(ServerStart, WhatIsListedIsUsedAgainWhereItsSupposedSuccessorGoes)
+TEST(ServerStart, AListedServerIsUsedAgainAfterItsSupposedSuccessorIsRemoved)
 {
     ServerFleet fleet;
     fleet.upsert(entry("a", 0), timePoint(1));
@@ -76,64 +76,65 @@
     CHECK_TRUE(fleet.remove(BackendId("b"), timePoint(3)));
     CHECK_TRUE(fleet.find(BackendId("a")) != nullptr);
     CHECK_FALSE(fleet.remove(BackendId("a"), timePoint(4)));
-    // Where both say when they started, it has ended for certain.
+    // If both entries have a start time, the earlier start has certainly ended.
     fleet.upsert(entry("c", 5), timePoint(5));
     fleet.upsert(entry("d", 9), timePoint(6));
     CHECK_FALSE(fleet.remove(BackendId("d"), timePoint(7)));
     CHECK_TRUE(fleet.find(BackendId("c")) == nullptr);
 }
 
-TEST(ServerStart, ANewStartBeginsAtNothing)
+TEST(ServerStart, ANewStartHasNoStateOfTheEarlierStart)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 1);
     const BackendId id = start.chain.hops().back().backend;
     harness.send(relay::event::EngineChecked { id, false, 1 });
     CHECK_TRUE(harness.reducer().fleet().servers().at(id).isDead(harness.now()));
-    RegisteredServer again = RelayHarness::engine(id.value(), 0, 0);
-    again.startedAt = StartTime(9);
-    harness.send(relay::event::ServerRegistered { again });
+    RegisteredServer restarted = RelayHarness::engine(id.value(), 0, 0);
+    restarted.startedAt = StartTime(9);
+    harness.send(relay::event::ServerRegistered { restarted });
     const FleetServer& server = harness.reducer().fleet().servers().at(id);
     CHECK_FALSE(server.isDead(harness.now()));
     CHECK_EQUAL(0, server.ownTokenLayers);
     CHECK_EQUAL(0U, server.unansweredChecks);
-    // Others' words on the start before do not concern it.
+    // Reports of other instances about the earlier start do not apply to the new one.
     harness.send(relay::event::EnginesReportedDead { { engineKey(id) } });
     CHECK_FALSE(harness.last<relay::effect::CheckEngine>().has_value());
 }
 
 namespace {
 
-/// A sign that an engine has started again.
+/// The events by which the relay notices that an engine has restarted.
 struct Sign {
     const char* name;
     std::vector<RelayEventBody> events;
 };
 
-std::vector<Sign> signsOfANewStart(const BackendId& id)
+std::vector<Sign> signsOfRestart(const BackendId& id)
 {
     RegisteredServer later = RelayHarness::engine(id.value(), 0, 0);
     later.startedAt = StartTime(9);
     RegisteredServer successor = RelayHarness::engine("z", 0, 0);
     successor.address = later.address;
     return {
-        { "its entry", { relay::event::ServerRegistered { later } } },
-        { "another id at its address", { relay::event::ServerRegistered { successor } } },
-        { "its answer to a check", { relay::event::EngineChecked { id, true, 1, false, {}, StartTime(9), {} } } },
-        { "its answer to an order", { relay::event::EngineStartSeen { id, StartTime(9) } } },
+        { "registry entry of the new start", { relay::event::ServerRegistered { later } } },
+        { "registry entry of another id at the address", { relay::event::ServerRegistered { successor } } },
+        { "answer of the new start to a health check",
+            { relay::event::EngineChecked { id, true, 1, false, {}, StartTime(9), {} } } },
+        { "answer of the new start to an order", { relay::event::EngineStartSeen { id, StartTime(9) } } },
     };
 }
 
 } // namespace
 
-TEST(ServerStart, StreamsLeaveAnEngineThatStartedAgainAtTheFirstSign)
+TEST(ServerStart, StreamsLeaveARestartedEngineAtTheFirstSign)
 {
     for (const bool isFirst : { false, true }) {
         for (std::size_t sign = 0; sign < 4; ++sign) {
             RelayHarness harness;
             const auto start = harness.running("/draft/1", 10);
             const Hop lost = isFirst ? start.chain.hops().front() : start.chain.hops().back();
-            const Sign each = signsOfANewStart(lost.backend).at(sign);
+            const Sign each = signsOfRestart(lost.backend).at(sign);
             for (const RelayEventBody& event : each.events)
                 harness.send(event);
             if (isFirst) {
@@ -144,7 +145,7 @@
             } else {
                 const auto order = harness.last<relay::effect::RerouteAttempt>();
                 CHECK_TRUE_TEXT(order && !order->chain.contains(lost.backend), each.name);
-                // Without the order the attempt cannot go on.
+                // If the first stage refuses the order, the attempt cannot continue, so another one starts.
                 harness.send(relay::event::RerouteAnswered { start.attempt, false });
                 const auto next = harness.last<relay::effect::StartAttempt>();
                 CHECK_TRUE_TEXT(next && next->resumeAfter == 10U, each.name);
@@ -153,23 +154,23 @@
     }
 }
 
-// A stream was cut off at a first stage that lived, because a later one had ended, and was then sent to two servers
-// more where its route allows two in all.
-TEST(ServerStart, AnAttemptAtAServerThatLivesCounts)
+// An attempt was cancelled at a first stage that was alive, because a later stage had ended. The call was then sent to
+// two more servers although its route allows two in total.
+TEST(ServerStart, AnAttemptCountsTowardsTheLimitUnlessItsServerHasEnded)
 {
     const struct {
         const char* name;
-        bool firstEnds;
+        bool firstStageEnds;
         int furtherAttempts;
     } cases[] = { { "a later stage ended", false, 1 }, { "the first stage ended", true, 2 } };
     for (const auto& each : cases) {
         RelayHarness harness;
         const auto start = harness.running("/draft/1", 10);
-        const Hop lost = each.firstEnds ? start.chain.hops().front() : start.chain.hops().back();
+        const Hop lost = each.firstStageEnds ? start.chain.hops().front() : start.chain.hops().back();
         RegisteredServer successor = RelayHarness::engine("z", 0, 0);
         successor.address = lost.address;
         harness.send(relay::event::ServerRegistered { successor });
-        if (!each.firstEnds)
+        if (!each.firstStageEnds)
             harness.send(relay::event::RerouteAnswered { start.attempt, false });
         int further = 0;
         for (auto next = harness.last<relay::effect::StartAttempt>(); next && further < 5; ++further) {
@@ -177,7 +178,7 @@
             harness.send(relay::event::AttemptEnded { next->attempt, AttemptResult::Broken, 200, "" });
             next = harness.last<relay::effect::StartAttempt>();
             if (!next) {
-                harness.tick(milliseconds(600)); // The servers that failed are left alone for half a second.
+                harness.tick(milliseconds(600)); // Servers that failed are avoided for 500 ms.
                 next = harness.last<relay::effect::StartAttempt>();
             }
         }
@@ -185,9 +186,9 @@
     }
 }
 
-// Engines left one after the other, and no other was free: the streams through them were cut by this side, where their
-// servers would have served on for a while.
-TEST(ServerStart, APartOfAnAnswerIsNotCutWhereNothingCanGoOnWithIt)
+// Engines left one after the other while no other engine had free capacity. The relay cancelled the streams through
+// them, although their servers would have continued to run them for a while.
+TEST(ServerStart, AStreamThatLosesAStageIsNotCancelledWhileNoOtherChainExists)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 10);
@@ -208,14 +209,14 @@
     CHECK_TRUE(order && order->chain.contains(BackendId("e")));
 }
 
-// While one stage is being replaced, the stage that the stream is to go to starts again as well.
-TEST(ServerStart, AStreamThatWasMovedToAnEndedStageIsMovedOn)
+// While a stream is being rerouted to a new stage, the engine of this new stage restarts, too.
+TEST(ServerStart, AStreamReroutedToAnEndedStageIsReroutedAgain)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 10);
     const Hop lost = start.chain.hops().back();
     harness.send(relay::event::EngineChecked { lost.backend, false, 1, true });
-    // The others are asked whether they died with it; a stream goes only to those that answered.
+    // The other engines are checked, since they may have died together. Streams move only to engines that answered.
     CHECK_TRUE(harness.last<relay::effect::CheckEngine>().has_value());
     CHECK_FALSE(harness.last<relay::effect::RerouteAttempt>().has_value());
     for (const char* id : { "a", "b", "c", "d" }) {
@@ -238,7 +239,7 @@
 
 namespace {
 
-/// Has the last stage of a running stream end, with no other that could take its part.
+/// Lets the last stage of a running stream end, and lets the first stage refuse the order to replace it.
 void loseLastStage(RelayHarness& harness, const relay::effect::StartAttempt& start)
 {
     RegisteredServer successor = RelayHarness::engine("z", 0, 0);
@@ -250,13 +251,13 @@
 
 } // namespace
 
-// A stream that may run once had its first 30 events when a later stage ended, and was sent to servers once more.
-// Whether it may have run was asked of the attempts that had ended, and the one that had delivered these events had
-// not.
+// A stream that may run only once had delivered 30 events when a later stage ended, and was then sent to another
+// server. To decide whether the call may have run, the relay considered only attempts that had ended. The attempt that
+// had delivered these events had not ended yet.
 //
 //     "attempt" "route":"once" "remaining_ms":6000 "resume_after":0
 //     "attempt" "route":"once" "remaining_ms":2897 "resume_after":30
-TEST(ServerStart, AStreamThatMayRunOnceIsNotSentAgainAsItLosesAStage)
+TEST(ServerStart, AStreamThatMayRunOnlyOnceIsNotSentAgainAfterItLosesAStage)
 {
     const struct {
         const char* path;
@@ -272,9 +273,9 @@
     }
 }
 
-// Four answers ended midway beside a change of the configuration: each was given up, at a first stage that lived, for
-// an attempt that was then turned away, and nothing was left to go on with.
-TEST(ServerStart, AnAnswerIsGivenUpOnlyForAnAttemptThatDelivers)
+// Four answers ended incomplete during a change of the configuration. Each attempt was cancelled, although its first
+// stage was alive, in favour of a new attempt that was then rejected, so no attempt was left.
+TEST(ServerStart, AnAttemptIsNotCancelledForANewAttemptThatIsThenRejected)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 10);
@@ -289,12 +290,14 @@
     CHECK_EQUAL(1U, harness.reducer().counters().completed);
 }
 
-// An answer ran on while another attempt was tried beside it. Each further check that its lost stage did not take cut
-// the answer in favour of that attempt, which the next server then turned away, and nothing was left.
+// An attempt continued while a second attempt was started. When another health check of its lost stage failed, the
+// first attempt was cancelled in favour of the second one, which the next server then rejected, so no attempt was left:
 //
-//     22.634 s its server runs it; 29.728 s its run is cut; 29.732 s the next one sheds it; 29.743 s the answer breaks
-//     off
-TEST(ServerStart, AnAnswerIsNotCutForAnAttemptBesideItAsItsStageIsFoundLostOnceMore)
+//     22.634 s a server runs the call
+//     29.728 s this attempt is cancelled
+//     29.732 s the next server rejects the call
+//     29.743 s the answer ends incomplete
+TEST(ServerStart, AnAttemptIsNotCancelledForASecondOneWhenItsLostStageMissesAnotherCheck)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 10);
@@ -322,7 +325,7 @@
     CHECK_EQUAL(0U, harness.reducer().counters().refused.at(static_cast<std::size_t>(Reason::RefusedByBackend)));
 }
 
-TEST(ServerStart, CallsThatMayNotRunTwiceEndWithATrueWord)
+TEST(ServerStart, AnInterruptedCallThatMayNotRunTwiceIsRefusedAsMayHaveRun)
 {
     RelayHarness harness;
     const auto start = harness.running("/book/1");
@@ -333,7 +336,7 @@
     CHECK_TRUE(refusal && refusal->run == RunState::MayHaveRun);
 }
 
-TEST(ServerStart, WordsOfAnEarlierStartChangeNothing)
+TEST(ServerStart, EntriesAndAnswersOfAnEarlierStartAreIgnored)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 10);
@@ -341,16 +344,18 @@
     RegisteredServer entry = RelayHarness::engine(id.value(), 4, 8);
     entry.startedAt = StartTime(9);
     harness.send(relay::event::ServerRegistered { entry });
-    RegisteredServer late = RelayHarness::engine(id.value(), 0, 8);
-    late.startedAt = StartTime(5);
+    RegisteredServer lateEntry = RelayHarness::engine(id.value(), 0, 8);
+    lateEntry.startedAt = StartTime(5);
     const struct {
         const char* name;
         RelayEventBody event;
     } cases[] = {
-        { "an entry", relay::event::ServerRegistered { late } },
-        { "an answer to a check", relay::event::EngineChecked { id, true, 12, false, StartTime(9), StartTime(5), {} } },
-        { "silence of the start before", relay::event::EngineChecked { id, false, 1, true, StartTime(5), {}, {} } },
-        { "an answer to an order", relay::event::EngineStartSeen { id, StartTime(5) } },
+        { "registry entry", relay::event::ServerRegistered { lateEntry } },
+        { "answer to a health check",
+            relay::event::EngineChecked { id, true, 12, false, StartTime(9), StartTime(5), {} } },
+        { "unanswered health check of the earlier start",
+            relay::event::EngineChecked { id, false, 1, true, StartTime(5), {}, {} } },
+        { "answer to an order", relay::event::EngineStartSeen { id, StartTime(5) } },
     };
     for (const auto& each : cases) {
         harness.send(each.event);
@@ -362,65 +367,67 @@
     }
 }
 
-// All instances lost power and came back within a second, and each began with its whole share of the retries that the
-// platform allows beyond the ratio: with 19 starts in a day, 555 retries were made within 10 s where 509 were allowed.
-TEST(ServerStart, InstancesThatStartAgainSpendNoMoreRetriesThanOnesThatRunOn)
+// All instances lost power and restarted within a second, and each began with its whole share of the retries that the
+// platform allows in addition to the ratio. With 19 restarts in a day, 555 retries were made within 10 s where 509 were
+// allowed.
+TEST(ServerStart, RestartingInstancesUseNoMoreRetriesThanRunningOnes)
 {
     const struct {
         const char* name;
         int startsInWindow;
-        int most;
-    } cases[] = { { "runs on", 0, 13 }, { "one start", 1, 13 }, { "five starts", 5, 13 } };
+        int maxRetries;
+    } cases[] = { { "no restart", 0, 13 }, { "one start", 1, 13 }, { "five starts", 5, 13 } };
     for (const auto& each : cases) {
-        constexpr double Window = 10;
+        constexpr double WindowSeconds = 10;
         constexpr double Share = 12;
         constexpr int Steps = 100;
-        int spent = 0;
+        int retries = 0;
         int lastStart = 0;
         RetryBudget budget(0, Share, each.startsInWindow ? 0 : 1);
         for (int step = 0; step < Steps; ++step) {
-            const bool starts = each.startsInWindow && step % (Steps / each.startsInWindow) == 0;
-            if (starts) {
+            const bool restarts = each.startsInWindow && step % (Steps / each.startsInWindow) == 0;
+            if (restarts) {
                 budget = RetryBudget(0, Share, 0);
                 lastStart = step;
             }
-            budget.ripen(std::min(1.0, (step - lastStart) * Window / Steps / Window));
+            budget.ripen(std::min(1.0, (step - lastStart) * WindowSeconds / Steps / WindowSeconds));
             while (budget.spend())
-                ++spent;
+                ++retries;
         }
-        CHECK_TRUE_TEXT(spent <= each.most, each.name);
-        CHECK_TRUE_TEXT(spent >= Share / 2, each.name);
+        CHECK_TRUE_TEXT(retries <= each.maxRetries, each.name);
+        CHECK_TRUE_TEXT(retries >= Share / 2, each.name);
     }
 }
 
-TEST(ServerStart, AnInstanceEarnsItsShareOfTheRetriesAsItRuns)
+TEST(ServerStart, TheRetryBudgetOfANewInstanceGrowsAfterItsStart)
 {
     RelayOptions options;
     options.retryRipening = std::chrono::seconds(10);
     options.retryRatio = 0;
     options.retrySlack = 8;
     const struct {
-        int secondsUp;
+        int uptimeSeconds;
         bool isRetried;
     } cases[] = { { 0, false }, { 10, true } };
     for (const auto& each : cases) {
         RelayHarness harness(options);
-        harness.tick(std::chrono::seconds(each.secondsUp));
+        harness.tick(std::chrono::seconds(each.uptimeSeconds));
         const auto start = harness.running("/draft/1");
         harness.send(relay::event::AttemptEnded { start.attempt, AttemptResult::NotRun, 503, "" });
         CHECK_EQUAL(each.isRetried, harness.last<relay::effect::StartAttempt>().has_value());
     }
 }
 
-// A chain has one holder left of a range, which sheds the call: it was sent there three times within 7 ms.
-TEST(ServerStart, ACallWaitsForTheOnlyStageThatTurnedItAway)
+// Only one engine was left that held some of the layers. A call that it rejected was sent to it three times within 7
+// ms.
+TEST(ServerStart, ACallThatTheOnlyPossibleStageRejectedWaitsBeforeTheNextAttempt)
 {
     RelayHarness harness;
     harness.send(relay::event::ServerUnregistered { BackendId("c") });
     harness.send(relay::event::ServerUnregistered { BackendId("d") });
     const auto start = harness.running("/draft/1");
-    const std::string full = start.chain.hops().back().address;
-    harness.send(relay::event::AttemptEnded { start.attempt, AttemptResult::NotRun, 503, full });
+    const std::string fullStage = start.chain.hops().back().address;
+    harness.send(relay::event::AttemptEnded { start.attempt, AttemptResult::NotRun, 503, fullStage });
     CHECK_FALSE(harness.last<relay::effect::StartAttempt>().has_value());
     harness.tick(milliseconds(300));
     CHECK_TRUE(harness.last<relay::effect::StartAttempt>().has_value());
