--- a/src/relay/EngineCheckBudget.cpp
+++ b/src/relay/EngineCheckBudget.cpp
@@ -6,37 +6,37 @@
 
 namespace {
 
-    /// Checks of one engine by all instances together, a second, beside the burst. The users' platforms price a probe
-    /// like a hundredth to a fiftieth of a call: four times as many cost 0.02 of a day's worth on the dearest.
-    constexpr double ChecksPerSecond = 0.5;
-    /// Urgent checks of all engines are saved up in this time; a registry shows a dead engine after some four.
-    constexpr double SweepSeconds = 5;
+    /// Refill rate of regular checks per engine and second, over all instances. The platforms charge a probe like 0.01
+    /// to 0.02 of a call. Four times this rate costs 0.02 of a day's worth on the most expensive platform.
+    constexpr double RegularChecksPerEngineSecond = 0.5;
+    /// Time in seconds that refills the urgent bucket completely. The registry shows a dead engine after about 4 s.
+    constexpr double UrgentRefillSeconds = 5;
 
 } // namespace
 
 void EngineCheckBudget::earn(std::size_t engines, std::uint32_t instances, TimePoint now)
 {
-    const double seconds = std::chrono::duration<double>(now - m_lastEarned).count();
-    m_lastEarned = now;
-    const double rate = ChecksPerSecond * static_cast<double>(engines) / std::max(1U, instances);
-    m_saved = std::min(Burst, m_saved + std::max(0.0, seconds) * rate);
-    const double most = std::max(Burst, static_cast<double>(engines));
-    m_urgent = std::min(most, m_urgent + std::max(0.0, seconds) * most / SweepSeconds);
+    const double seconds = std::chrono::duration<double>(now - m_lastRefill).count();
+    m_lastRefill = now;
+    const double regularRate = RegularChecksPerEngineSecond * static_cast<double>(engines) / std::max(1U, instances);
+    m_regularTokens = std::min(RegularBurst, m_regularTokens + std::max(0.0, seconds) * regularRate);
+    const double urgentBurst = std::max(RegularBurst, static_cast<double>(engines));
+    m_urgentTokens = std::min(urgentBurst, m_urgentTokens + std::max(0.0, seconds) * urgentBurst / UrgentRefillSeconds);
 }
 
 bool EngineCheckBudget::spendUrgent()
 {
-    if (m_urgent < 1)
+    if (m_urgentTokens < 1)
         return spend();
-    m_urgent -= 1;
+    m_urgentTokens -= 1;
     return true;
 }
 
 bool EngineCheckBudget::spend()
 {
-    if (m_saved < 1)
+    if (m_regularTokens < 1)
         return false;
-    m_saved -= 1;
+    m_regularTokens -= 1;
     return true;
 }
 
--- a/src/relay/EngineCheckBudget.h
+++ b/src/relay/EngineCheckBudget.h
@@ -7,29 +7,32 @@
 
 namespace crocusmount::relay {
 
-/// Bounds the checks that this instance makes of engines, since the platform charges each as a probe. All instances
-/// together may check each engine once in two seconds; one chain's stages may be checked at once. Beside that, each
-/// instance may check each engine once where there is a sign of death: a rack that dies shows in all streams at once,
-/// and which of its engines are dead must be known then.
+/// Limits the health checks that this instance sends to engines, since the platform charges each one as a probe. Holds
+/// two token buckets. The regular one allows all instances together one check per engine in two seconds, with a burst
+/// that covers all stages of one chain. The urgent one is for engines that show a sign of death, and allows this
+/// instance a burst of one check per engine: the failure of a rack shows in all streams at the same time, and the
+/// relay must then find out at once which of its engines are dead.
 class EngineCheckBudget {
 public:
-    /// Earns checks for the time since the last call.
-    /// @param engines    all that are registered
-    /// @param instances  that share them
+    /// Refills both buckets for the time since the previous call.
+    /// @param engines    number of registered engines
+    /// @param instances  number of instances that share these engines
     void earn(std::size_t engines, std::uint32_t instances, TimePoint now);
 
-    /// @return whether one more check is allowed; it is then spent
+    /// Consumes a token for a regular check.
+    /// @return whether the check is allowed
     bool spend();
-    /// @return the same for a check that a sign of death asks for
+    /// Consumes a token for the check of an engine that shows a sign of death, from the urgent bucket if possible.
+    /// @return whether the check is allowed
     bool spendUrgent();
 
 private:
-    /// Stages of a long chain: all of them may be silent for the sake of one.
-    static constexpr double Burst = 16;
+    /// Number of stages of a long chain, since a single stalled stage may silence all of them.
+    static constexpr double RegularBurst = 16;
 
-    double m_saved = Burst;
-    double m_urgent = Burst;
-    TimePoint m_lastEarned;
+    double m_regularTokens = RegularBurst;
+    double m_urgentTokens = RegularBurst;
+    TimePoint m_lastRefill;
 };
 
 } // namespace crocusmount::relay
--- a/src/relay/EngineCost.cpp
+++ b/src/relay/EngineCost.cpp
@@ -6,22 +6,23 @@
 
 namespace {
 
-    /// What a further stream costs with its share of the steps of all others: at full memory about three times as much
-    /// as alone.
-    constexpr double BatchGrowth = 2;
-    /// Cost of an engine whose memory is full, over an empty one: streams are thrown back there and read again.
-    constexpr double FullGrowth = 10;
+    /// Weight of the delay that a further stream causes to other streams: with full memory, and without EvictionWeight,
+    /// the stream costs three times as much as on an idle engine.
+    constexpr double BatchingWeight = 2;
+    /// Weight of the cost of evictions. An engine with full memory evicts streams and processes their tokens again.
+    constexpr double EvictionWeight = 10;
 
 } // namespace
 
-EngineCost::EngineCost(const EngineModel& model, const AcceleratorKind& card, std::uint32_t heldLayers,
+EngineCost::EngineCost(const EngineModel& model, const AcceleratorKind& accelerator, std::uint32_t heldLayers,
     double contextTokens, double slowness)
 {
-    const double eventMs = model.stride * model.stepMs * card.stepFactor * slowness;
+    const double eventMs = model.stride * model.stepMs * accelerator.stepFactor * slowness;
     m_passMs = eventMs * heldLayers / model.layers;
-    const double capacity = model.kvTokenLayers(card, heldLayers);
+    const double capacity = model.kvTokenLayers(accelerator, heldLayers);
     m_fill = capacity > 0 ? contextTokens * heldLayers / capacity : 1;
-    m_marginalMsPerLayer = eventMs / model.layers * (1 + BatchGrowth * m_fill + FullGrowth * std::pow(m_fill, 6));
+    m_marginalMsPerLayer
+        = eventMs / model.layers * (1 + BatchingWeight * m_fill + EvictionWeight * std::pow(m_fill, 6));
 }
 
 } // namespace crocusmount::relay
--- a/src/relay/EngineCost.h
+++ b/src/relay/EngineCost.h
@@ -4,22 +4,23 @@
 
 namespace crocusmount::relay {
 
-/// The time that an engine needs for an event of a stream, from the model's figures and its load. Load patterns that it
-/// answers: many streams on few fast cards, where each further one slows all others; and memory about to run out, where
-/// the newest stream is thrown back and read again.
+/// Estimates the cost of a further stream on an engine from the properties of the model and the engine's load. The
+/// estimate avoids two kinds of overload. If many streams run on a few fast accelerators, each further stream slows
+/// down all others. If the KV cache memory runs out, the engine evicts the newest stream and has to process its tokens
+/// again.
 class EngineCost {
 public:
-    /// @param heldLayers     layers that the engine holds
-    /// @param contextTokens  of all streams through it, of all instances together, as far as one of them can tell
-    /// @param slowness       its work takes this many times as long as its card's figures say
+    /// @param heldLayers     number of layers that the engine holds
+    /// @param contextTokens  estimated tokens in the KV cache of the engine, over the streams of all instances
+    /// @param slowness       reported step time of the engine as a multiple of the usual one of its accelerator
     EngineCost(const EngineModel&, const AcceleratorKind&, std::uint32_t heldLayers, double contextTokens,
         double slowness = 1);
 
-    /// @return how long one pass over all held layers takes, in ms
+    /// @return duration of one pass through all held layers, in ms
     double passMs() const { return m_passMs; }
-    /// @return part of the memory for requests that is taken
+    /// @return used fraction of the KV cache memory; above 1 if overcommitted
     double fill() const { return m_fill; }
-    /// @return cost of one layer for a further stream, with what it costs the others, in ms an event
+    /// @return cost of a further stream per layer, including the delay of other streams, in ms per event
     double marginalMsPerLayer() const { return m_marginalMsPerLayer; }
 
 private:
--- a/src/relay/Mechanism.cpp
+++ b/src/relay/Mechanism.cpp
@@ -11,7 +11,7 @@
     constexpr struct {
         const char* name;
         Mechanism mechanism;
-    } Names[] = {
+    } MechanismNames[] = {
         { "engine-checks", Mechanism::EngineChecks },
         { "closed-engines", Mechanism::ClosedEngines },
         { "dead-reports", Mechanism::DeadReports },
@@ -35,27 +35,27 @@
 
 absl::StatusOr<DisabledMechanisms> DisabledMechanisms::make(std::string_view names)
 {
-    DisabledMechanisms made;
+    DisabledMechanisms result;
     const absl::string_view text(names.data(), names.size());
     for (const absl::string_view name : absl::StrSplit(text, ',', absl::SkipEmpty())) {
-        bool known = false;
-        for (const auto& each : Names) {
+        bool isKnown = false;
+        for (const auto& each : MechanismNames) {
             if (name != each.name)
                 continue;
-            made.m_disabled.insert(each.mechanism);
-            known = true;
+            result.m_disabled.insert(each.mechanism);
+            isKnown = true;
         }
-        if (!known)
-            return absl::InvalidArgumentError(
-                absl::StrCat("no mechanism \"", name, "\"; there are ", absl::StrJoin(mechanismNames(), ", ")));
+        if (!isKnown)
+            return absl::InvalidArgumentError(absl::StrCat(
+                "unknown mechanism \"", name, "\"; expected one of ", absl::StrJoin(mechanismNames(), ", ")));
     }
-    return made;
+    return result;
 }
 
 std::vector<std::string> mechanismNames()
 {
     std::vector<std::string> names;
-    for (const auto& each : Names)
+    for (const auto& each : MechanismNames)
         names.emplace_back(each.name);
     return names;
 }
--- a/src/relay/Mechanism.h
+++ b/src/relay/Mechanism.h
@@ -8,41 +8,42 @@
 
 namespace crocusmount::relay {
 
-/// A part of the decisions that can be switched off by itself, to measure what it is worth (tools/rounds --without).
+/// A part of the relay's decisions that can be disabled separately to measure its effect (tools/rounds --without).
 enum class Mechanism {
-    EngineChecks, ///< asking engines how they are
-    ClosedEngines, ///< sending nothing to engines that turn calls away though they have room
-    DeadReports, ///< telling the other instances of a dead engine
-    SlownessPrice, ///< dearer engines where they report that they are slow
-    EarlyReplacement, ///< placing the layers of a dead engine elsewhere before the list shows its end
-    HolderWeights, ///< holders of layers count by their speed where engines are placed
-    Moves, ///< moving engines to where holders are missing
-    EntryPrice, ///< dearer first stages where their slots are taken
-    LoadExchange, ///< prices by what all instances hold
-    OthersAvoidance, ///< avoiding what many other instances avoid
-    StreamLimit, ///< the adaptive bound on streams in flight
-    ComeBackTime, ///< times to come back that follow the length of a shortage
-    SecondAttempts, ///< a second attempt beside one that stands still
-    Reroutes, ///< running streams ordered onto another chain
-    StallQuestions, ///< asking the first stage where a stream stands still
-    Quarantine, ///< sending requests under which servers end to none
-    StoreFeed, ///< copies of the store kept up to date by another instance
+    EngineChecks, ///< health checks of engines
+    ClosedEngines, ///< no new calls to engines that reject calls despite free capacity
+    DeadReports, ///< reports of dead engines to the other instances
+    SlownessPrice, ///< higher cost of engines that report to be slow
+    EarlyReplacement, ///< placement of a dead engine's layers on other engines before the registry drops it
+    HolderWeights, ///< weight by speed of the engines that hold a layer when layers are placed
+    Moves, ///< moves of engines to layers that too few engines hold
+    EntryPrice, ///< higher cost of first stages whose slots are in use
+    LoadExchange, ///< costs by the load of all instances
+    OthersAvoidance, ///< avoidance of servers that many other instances avoid
+    StreamLimit, ///< adaptive limit of concurrent streams
+    ComeBackTime, ///< retry times for callers that depend on how long a shortage has lasted
+    SecondAttempts, ///< a second attempt while the first one is stalled
+    Reroutes, ///< orders to continue running streams over another chain
+    StallQuestions, ///< queries to the first stage for the stage where a stream is stalled
+    Quarantine, ///< quarantine of requests that crash servers
+    StoreFeed, ///< updates of the local store copy from another instance
 };
 
-/// The mechanisms that are switched off; none in production.
+/// The set of disabled mechanisms; empty in production.
 class DisabledMechanisms {
 public:
-    /// @param names  comma-separated, as in mechanismNames
-    /// @return the set, or InvalidArgument with the name that is unknown
+    /// @param names  comma-separated names as returned by mechanismNames()
+    /// @return the set, or InvalidArgument with the first unknown name
     static absl::StatusOr<DisabledMechanisms> make(std::string_view names);
 
+    /// @return whether a mechanism is disabled
     bool has(Mechanism mechanism) const { return m_disabled.count(mechanism) != 0; }
 
 private:
     std::set<Mechanism> m_disabled;
 };
 
-/// @return the names of all mechanisms, in the order of their declaration
+/// @return the names of all mechanisms in order of declaration
 std::vector<std::string> mechanismNames();
 
 } // namespace crocusmount::relay
--- a/src/relay/RegisteredServer.h
+++ b/src/relay/RegisteredServer.h
@@ -8,18 +8,18 @@
 
 namespace crocusmount::relay {
 
-/// What the platform's registry says of one backend server. A server that starts again takes a new id, or keeps its id
-/// with a later start time; in both cases it holds nothing of before.
+/// Registry entry of one backend server. A server that restarts either takes a new id or keeps its id with a later
+/// start time. In both cases it has lost all state from before.
 struct RegisteredServer {
     BackendId id;
-    StartTime startedAt;
-    ServiceId service;
+    StartTime startedAt; ///< zero if unknown
+    ServiceId service; ///< service whose calls this server runs
     std::string address; ///< "ip:port"
     DataCentreId dataCentre;
     std::string accelerator; ///< name of its AcceleratorKind; empty for a plain service
-    std::uint32_t slots = 1;
-    bool leaving = false;
-    LayerRange layers; ///< held and ready to run; empty if none
+    std::uint32_t slots = 1; ///< number of calls that may run there at the same time
+    bool leaving = false; ///< whether the server drains its calls and will exit
+    LayerRange layers; ///< loaded and ready to run; empty if none
 
     bool operator==(const RegisteredServer&) const = default;
 };
--- a/src/relay/RelayCounters.h
+++ b/src/relay/RelayCounters.h
@@ -10,29 +10,29 @@
 
 /// Monotonic counts of the relay.
 struct RelayCounters {
-    std::uint64_t calls = 0;
-    std::uint64_t completed = 0;
+    std::uint64_t calls = 0; ///< all calls that arrived
+    std::uint64_t completed = 0; ///< calls whose answer was delivered completely
     std::uint64_t attempts = 0;
-    std::uint64_t resumed = 0; ///< streams that went on at another chain after their first event
-    std::uint64_t rerouted = 0; ///< running streams that were ordered onto another chain
-    std::uint64_t reroutesRefused = 0;
-    std::uint64_t stallQuestions = 0; ///< to first stages; the platform counts each as a probe
-    std::uint64_t engineChecks = 0; ///< likewise counted as probes
-    std::uint64_t closedEngines = 0; ///< found to take no new work though they have room
-    std::uint64_t deadEngines = 0; ///< checks that were not answered
-    std::uint64_t startsEnded = 0; ///< backend servers in whose place a later start was seen
-    std::uint64_t entriesOutdated = 0; ///< entries of starts that had ended
-    std::uint64_t entriesUnusable = 0; ///< entries with a service or layers that the configuration does not know
-    std::uint64_t crashesCounted = 0; ///< ends of servers that are held against a request
-    std::uint64_t crashesDismissed = 0; ///< ends that have another cause: others ended in the same moment
-    std::uint64_t quarantined = 0; ///< requests that are sent to no server
-    std::uint64_t requestsCleared = 0; ///< requests of which nothing is held against them any more
-    std::uint64_t held = 0; ///< calls that waited until it was known what ended their servers
-    std::uint64_t callersLeft = 0;
+    std::uint64_t resumed = 0; ///< streams that continued at another chain after their first event
+    std::uint64_t rerouted = 0; ///< orders to continue a running stream over another chain
+    std::uint64_t reroutesRefused = 0; ///< reroute orders that the first stage refused
+    std::uint64_t stallQuestions = 0; ///< queries for a stalled stage; the platform counts each one as a probe
+    std::uint64_t engineChecks = 0; ///< health checks of engines; the platform counts each one as a probe
+    std::uint64_t closedEngines = 0; ///< engines found to accept no new calls despite free capacity
+    std::uint64_t deadEngines = 0; ///< health checks that were not answered
+    std::uint64_t startsEnded = 0; ///< starts of backend servers that a later start replaced
+    std::uint64_t entriesOutdated = 0; ///< registry entries of ended starts
+    std::uint64_t entriesUnusable = 0; ///< registry entries with a service or layers that the configuration lacks
+    std::uint64_t crashesCounted = 0; ///< server crashes counted as evidence against a request
+    std::uint64_t crashesDismissed = 0; ///< crashes not counted, because other servers ended at that moment, too
+    std::uint64_t quarantined = 0; ///< requests that were quarantined, so they are sent to no server
+    std::uint64_t requestsCleared = 0; ///< requests of which all evidence was dropped
+    std::uint64_t held = 0; ///< calls that waited until the cause of a server's end was known
+    std::uint64_t callersLeft = 0; ///< callers that closed their connection before the end of the answer
     std::uint64_t configurationsAccepted = 0;
-    std::array<std::uint64_t, ReasonCount> refused {}; ///< final answers other than a server's, by reason
-    std::array<std::uint64_t, ReasonCount> retried {}; ///< further attempts, by the reason of the one before
-    /// Calls whose attempt failed and that were not tried again, by what kept them from it.
+    std::array<std::uint64_t, ReasonCount> refused {}; ///< final answers given by the relay itself, by reason
+    std::array<std::uint64_t, ReasonCount> retried {}; ///< retries, by the reason why the previous attempt failed
+    /// Calls not retried after a failed attempt, by the limit that prevented the retry.
     std::array<std::uint64_t, RetryLimitCount> retriesDenied {};
 };
 
--- a/src/relay/RelayOptions.h
+++ b/src/relay/RelayOptions.h
@@ -6,43 +6,51 @@
 
 namespace crocusmount::relay {
 
-/// The settings of the relay's decisions. Where a figure has no other origin, docs/decisions/0007-platform.md says
-/// how it was chosen.
+/// Settings of the relay's decisions. docs/decisions/0007-platform.md explains how the values without a reason here
+/// were chosen.
 struct RelayOptions {
-    DataCentreId dataCentre; ///< of this instance
-    DisabledMechanisms without; ///< none in production
-    double retryRatio = 0.15; ///< retries that each call earns; the platform allows 0.2 over all instances
-    double retrySlack = 100; ///< retries over all instances beyond that, within the platform's window
-    /// An instance has its share of the slack only after this time from its start: one that starts again and again must
-    /// not have the whole share each time.
+    DataCentreId dataCentre; ///< data centre of this instance
+    DisabledMechanisms without; ///< disabled mechanisms; none in production
+    /// Retries that each call adds to the retry budget. The platform allows 0.2 per call over all instances.
+    double retryRatio = 0.15;
+    /// Additional retries of all instances together within the platform's time window.
+    double retrySlack = 100;
+    /// Time from the start of an instance until it may use its whole share of retrySlack. The usable share grows during
+    /// this time, so that an instance in a restart loop does not get the whole share with each start.
     Duration retryRipening {};
-    /// How long a call waits for the first configuration of an instance that has just started. The load that it
-    /// answers: all instances lose power and start together while the store is still away; their callers have spent the
-    /// one retry that they make, and most that are refused then do not come back.
+    /// How long a call waits for the first configuration of an instance that has just started. This covers a power
+    /// failure after which all instances start at the same time while the store is still unavailable. By then callers
+    /// have used the only retry that they make, and most callers that are refused do not come back.
     Duration configurationWait = std::chrono::milliseconds(3000);
-    /// The same as part of the caller's patience: the rest is for the call itself, or for another instance.
+    /// Limit of configurationWait as a fraction of the caller's timeout. The rest of the timeout is left for the call
+    /// itself, or for a retry at another instance.
     double configurationWaitShare = 0.25;
-    /// Servers that may turn one call away before it is refused. They did not run it, so that maxAttempts of the route
-    /// does not count them; the retry budget does.
+    /// Maximum number of servers that may reject a call before it is refused. These servers did not run the call, so
+    /// Route::maxAttempts does not count them, but the retry budget does.
     std::uint32_t mostRejections = 3;
-    /// Part of the objective for which a call waits for room. Longer waits turn late what then runs.
+    /// Maximum wait for a server with free capacity, as a fraction of the latency objective. After a longer wait the
+    /// call itself would miss the objective.
     double queueWaitShare = 0.5;
-    /// Multiple of an engine's memory that all calls through it may need by the estimates: answers are often shorter.
+    /// Maximum estimated need of KV cache memory on an engine as a multiple of the memory it has. Answers are often
+    /// shorter than the estimates.
     double memoryOvercommit = 2;
-    Duration firstEventLimit = std::chrono::milliseconds(900); ///< without an event, before a chain counts as stalled
-    Duration minStall = std::chrono::milliseconds(450); ///< shortest gap in a stream that counts as a stall
-    double stallFactor = 8; ///< a stall is this many of the stream's usual gaps
-    Duration suspicion = std::chrono::seconds(3); ///< how long a stage that stands still is avoided
-    /// Streams are moved off a leaving server after this time; most end by themselves before, and the server serves for
-    /// at least twice as long.
+    Duration firstEventLimit = std::chrono::milliseconds(900); ///< time without a first event that counts as a stall
+    Duration minStall = std::chrono::milliseconds(450); ///< minimum gap between events that counts as a stall
+    double stallFactor = 8; ///< minimum gap that counts as a stall, as a multiple of the stream's usual gap
+    Duration suspicion = std::chrono::seconds(3); ///< how long a stalled stage is avoided
+    /// Time from the announcement that a server leaves until its streams are moved to other servers. Most streams end
+    /// earlier. The server continues to run them for at least twice this time.
     Duration rerouteDelay = std::chrono::milliseconds(1000);
-    std::uint32_t mostQuestions = 3; ///< to the first stage of one attempt, where it stands still
-    /// Between two such questions; reports are as old as that.
+    std::uint32_t mostQuestions = 3; ///< maximum number of queries for the stalled stage of one attempt
+    /// Minimum time between two queries for the stalled stage of one attempt. The answers are based on stage reports of
+    /// up to this age.
     Duration questionInterval = std::chrono::milliseconds(200);
-    std::uint32_t mostReroutes = 3; ///< of one attempt
-    /// After the order to leave, calls are taken only this long: longer ones could not end before the process must.
+    std::uint32_t mostReroutes = 3; ///< maximum number of reroutes of one attempt
+    /// How long new calls are accepted after the start of a drain. Calls that arrive later might not end before the
+    /// process has to exit.
     Duration lastCall = std::chrono::milliseconds(2800);
-    /// Multiple of the objective after which an idempotent call tries another server.
+    /// Time until an idempotent call without an answer is also sent to another server, as a multiple of the latency
+    /// objective.
     double slowCallFactor = 2;
 };
 
--- a/src/relay/RouteTable.cpp
+++ b/src/relay/RouteTable.cpp
@@ -56,11 +56,11 @@
     std::uint64_t total = 0;
     for (const TrafficShare& share : route.split)
         total += share.weight;
-    std::uint64_t left = total ? entropy % total : 0;
+    std::uint64_t remaining = total ? entropy % total : 0;
     for (const TrafficShare& share : route.split) {
-        if (left < share.weight)
+        if (remaining < share.weight)
             return share.service;
-        left -= share.weight;
+        remaining -= share.weight;
     }
     return route.split.back().service;
 }
--- a/src/relay/RouteTable.h
+++ b/src/relay/RouteTable.h
@@ -7,18 +7,20 @@
 
 namespace crocusmount::relay {
 
-/// One configuration with its lookups, built once off the path of calls and shared by all that came under it.
+/// One configuration with its lookup tables. A RouteTable is immutable, built once when the configuration changes, and
+/// shared by all calls that arrive while the configuration is in effect.
 class RouteTable {
 public:
     static std::shared_ptr<const RouteTable> make(ServiceConfiguration);
 
-    /// @return the route of that host with the longest prefix that begins the path, or null
+    /// @return the route of the host with the longest matching path prefix, or null
     const Route* route(const std::string& host, const std::string& path) const;
-    /// @return who holds a key, or null
+    /// @return the workspace settings that belong to an API key, or null if the key is unknown
     const KeyHolder* holderOf(const std::string& key) const;
+    /// @return the service, or null if unknown
     const Service* service(const ServiceId&) const;
-    /// @param entropy  uniform
-    /// @return one of the route's services, by weight
+    /// @param entropy  uniformly random
+    /// @return one of the route's services, chosen with a probability proportional to its weight
     static const ServiceId& pickService(const Route&, std::uint64_t entropy);
 
     const ServiceConfiguration& configuration() const { return m_configuration; }
--- a/src/relay/ServiceConfiguration.cpp
+++ b/src/relay/ServiceConfiguration.cpp
@@ -10,10 +10,10 @@
     return found == kinds.end() ? nullptr : &*found;
 }
 
-double EngineModel::kvTokenLayers(const AcceleratorKind& card, std::uint32_t heldLayers) const
+double EngineModel::kvTokenLayers(const AcceleratorKind& accelerator, std::uint32_t heldLayers) const
 {
-    constexpr double BytesPerMb = 1e6; // The platform counts decimal megabytes.
-    const double freeMb = card.memoryMb - heldLayers * layerMb;
+    constexpr double BytesPerMb = 1e6; // The platform configures memory in decimal megabytes.
+    const double freeMb = accelerator.memoryMb - heldLayers * layerMb;
     if (freeMb <= 0 || kvBytesPerToken <= 0)
         return 0;
     return freeMb * BytesPerMb / (kvBytesPerToken / layers);
--- a/src/relay/Spread.h
+++ b/src/relay/Spread.h
@@ -4,8 +4,10 @@
 
 namespace crocusmount::relay {
 
-/// Spreads one random word over several uses (the step and finalizer of SplitMix64).
-/// @return a number in [0, 1)
+/// Derives several pseudorandom numbers from one random word, with the step and finalizer of SplitMix64.
+/// @param entropy  uniformly random
+/// @param use      index that distinguishes the numbers derived from this entropy
+/// @return a uniformly distributed number in [0, 1)
 inline double spread(std::uint64_t entropy, std::uint64_t use)
 {
     std::uint64_t mixed = entropy + (use + 1) * 0x9E3779B97F4A7C15ULL;
