--- a/tests/EngineCheckTest.cpp
+++ b/tests/EngineCheckTest.cpp
@@ -12,8 +12,9 @@
 
 TEST_GROUP(EngineCheck) {};
 
-// An engine falls silent under running streams. The pause that callers accept is 200 ms.
-TEST(EngineCheck, AStreamLeavesADeadStageWithinThePauseThatCallersAccept)
+// Callers accept a pause of 200 ms in a stream. If each stream waited for its own stall to be detected, it would leave
+// a dead stage too late. A health check of the silent stages finds the dead one in time.
+TEST(EngineCheck, AStreamLeavesADeadStageAsSoonAsTheHealthCheckFails)
 {
     const struct {
         const char* name;
@@ -38,7 +39,7 @@
     }
 }
 
-TEST(EngineCheck, AStageThatAnswersIsKept)
+TEST(EngineCheck, AStreamStaysOnStagesThatAnswerTheHealthCheck)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 10);
@@ -50,8 +51,8 @@
     CHECK_FALSE(harness.last<relay::effect::RerouteAttempt>().has_value());
 }
 
-// New calls are turned away at a dead stage at once, and the answer names it; running streams show it only by silence.
-TEST(EngineCheck, AStageThatARejectionNamesIsChecked)
+// A rejection names the stage that failed, so it can reveal a dead stage before the silence of running streams does.
+TEST(EngineCheck, AStageThatARejectionBlamesIsChecked)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1");
@@ -61,7 +62,7 @@
     CHECK_TRUE(check && check->engine == last.backend);
 }
 
-TEST(EngineCheck, OthersWordLeadsToACheckAndIsNoVerdict)
+TEST(EngineCheck, AnEngineThatAnotherInstanceAvoidsIsCheckedAndNotAssumedDead)
 {
     RelayHarness harness;
     const std::uint64_t key = engineKey(BackendId("a"));
@@ -75,9 +76,9 @@
     CHECK_TRUE(harness.reducer().fleet().servers().at(BackendId("a")).isDead(harness.now()));
 }
 
-// scc-faq scale-1, seed 12: servers of a plain service that lost answers were asked for a report that they do not give,
-// and were left alone as dead for the rest of the day.
-TEST(EngineCheck, ServersOfPlainServicesAreNotChecked)
+// Servers of a plain service do not answer health checks of engines. After some lost answers they were checked anyway
+// and then considered dead for the rest of the day (simulated day scc-faq scale-1, seed 12).
+TEST(EngineCheck, ServersOfPlainServicesGetNoEngineChecks)
 {
     RelayHarness harness;
     const std::uint64_t key = engineKey(BackendId("x"));
@@ -87,9 +88,9 @@
     CHECK_FALSE(harness.last<relay::effect::CheckEngine>().has_value());
 }
 
-// scc-faq-grown trouble-1: of 80 instances 16 found a dead engine within 0.1 s, the others after two rounds of the
-// exchange.
-TEST(EngineCheck, AnInstanceTellsTheOthersOfADeadEngineAtOnceAndOnce)
+// Without reports, 16 of 80 instances found a dead engine within 0.1 s. The others learned of it only after two rounds
+// of the load exchange (simulated day scc-faq-grown trouble-1).
+TEST(EngineCheck, ADeadEngineIsReportedToOtherInstancesImmediatelyAndOnce)
 {
     RelayHarness harness;
     harness.send(relay::event::EngineChecked { BackendId("a"), false, 1 });
@@ -98,13 +99,13 @@
     CHECK_FALSE(harness.last<relay::effect::ShareFinding>().has_value());
 }
 
-TEST(EngineCheck, AReportOfADeadEngineIsBelievedWhereAnOwnStreamIsSilentThere)
+TEST(EngineCheck, AReportedDeadEngineIsLeftWithoutACheckOnlyIfAnOwnStreamIsSilent)
 {
     const struct {
         const char* name;
         int silentMs;
-        bool believed;
-    } cases[] = { { "the stream runs", 20, false }, { "the stream is silent", 100, true } };
+        bool isLeft;
+    } cases[] = { { "the stream has events", 20, false }, { "the stream is silent", 100, true } };
     for (const auto& each : cases) {
         RelayHarness harness;
         const auto start = harness.running("/draft/1", 10);
@@ -112,12 +113,12 @@
         harness.tick(milliseconds(each.silentMs));
         harness.send(relay::event::EnginesReportedDead { { engineKey(dead.backend) } });
         const auto order = harness.last<relay::effect::RerouteAttempt>();
-        CHECK_EQUAL_TEXT(each.believed, order.has_value(), each.name);
-        CHECK_EQUAL_TEXT(!each.believed, harness.last<relay::effect::CheckEngine>().has_value(), each.name);
+        CHECK_EQUAL_TEXT(each.isLeft, order.has_value(), each.name);
+        CHECK_EQUAL_TEXT(!each.isLeft, harness.last<relay::effect::CheckEngine>().has_value(), each.name);
     }
 }
 
-TEST(EngineCheck, ADeadEngineIsCheckedAgainBeforeItIsUsedAgain)
+TEST(EngineCheck, ADeadEngineIsNotUsedAgainBeforeItAnswersAHealthCheck)
 {
     RelayHarness harness;
     harness.send(relay::event::EngineChecked { BackendId("a"), false, 1 });
@@ -131,47 +132,48 @@
     CHECK_FALSE(harness.reducer().fleet().servers().at(BackendId("a")).isDead(harness.now()));
 }
 
-// Engines that were twelve times slower went on to get their share of the streams, which filled their memory.
-TEST(EngineCheck, NewStreamsAvoidAnEngineThatReportsThatItIsSlow)
+// Engines that were twelve times slower than usual kept receiving new streams, which filled their memory.
+TEST(EngineCheck, NewStreamsAvoidAnEngineThatReportsToBeSlow)
 {
     const struct {
         double slowness;
-        bool avoided;
+        bool isAvoided;
     } cases[] = { { 1, false }, { 12, true } };
     for (const auto& each : cases) {
         RelayHarness harness;
         harness.send(relay::event::EngineChecked { BackendId("a"), true, each.slowness });
-        bool used = false;
+        bool isUsed = false;
         for (int i = 0; i < 4; ++i)
-            used = used || harness.running("/draft/1").chain.contains(BackendId("a"));
-        CHECK_EQUAL(each.avoided, !used);
+            isUsed = isUsed || harness.running("/draft/1").chain.contains(BackendId("a"));
+        CHECK_EQUAL(each.isAvoided, !isUsed);
     }
 }
 
-TEST(EngineCheck, ChecksAreBoundedOverAllInstances)
+TEST(EngineCheck, TheRateOfChecksIsLimitedOverAllInstances)
 {
     const struct {
         std::size_t engines;
         std::uint32_t instances;
-        int least;
-        int most;
+        int minChecks;
+        int maxChecks;
     } cases[] = { { 38, 8, 38, 40 }, { 99, 80, 21, 23 }, { 0, 1, 16, 16 } };
     for (const auto& each : cases) {
         EngineCheckBudget budget;
-        int spent = 0;
+        int checks = 0;
         for (std::int64_t ms = 0; ms <= 10000; ms += 20) {
             budget.earn(each.engines, each.instances, timePoint(ms * 1000));
             while (budget.spend())
-                ++spent;
+                ++checks;
         }
-        CHECK_TRUE(spent >= each.least);
-        CHECK_TRUE(spent <= each.most);
+        CHECK_TRUE(checks >= each.minChecks);
+        CHECK_TRUE(checks <= each.maxChecks);
     }
 }
 
-// scc-faq scale-1: while one engine was dead, rejections there and streams that it made late shrank the bound on
-// streams in flight to one or two; calls were refused for seconds after the other engines had room again.
-TEST(EngineCheck, ADeadEngineDoesNotShrinkTheBoundOnStreams)
+// While one engine was dead, its rejections and the streams that it delayed lowered the limit of concurrent streams to
+// one or two. Calls were refused for seconds after the other engines had free capacity again (simulated day scc-faq
+// scale-1).
+TEST(EngineCheck, ADeadEngineDoesNotLowerTheStreamLimit)
 {
     RelayHarness harness;
     const auto complete = [&](AttemptId attempt) {
@@ -186,7 +188,8 @@
             complete(start.attempt);
             continue;
         }
-        // It holds the call until the checks find it dead, and turns it away later than the objective.
+        // Engine "b" keeps the call until the checks find it dead, and rejects it after the latency objective has
+        // passed.
         std::optional<relay::effect::StartAttempt> next;
         for (int tick = 0; tick < 30; ++tick) {
             harness.tick(milliseconds(20));
@@ -212,9 +215,9 @@
 
 namespace {
 
-/// Has a stage turn a call away, and answer the check that follows once reports tell of that time.
-/// @return the instance that saw it, with the effects of the answer
-std::unique_ptr<RelayHarness> turnedAwayBy(const BackendId& engine, std::uint32_t queued, double memoryUsed)
+/// Lets an engine reject a call, and then answer the health check that is sent once its reports cover that time.
+/// @return the instance whose call was rejected, with the effects of the answer
+std::unique_ptr<RelayHarness> harnessAfterRejection(const BackendId& engine, std::uint32_t queued, double memoryUsed)
 {
     auto harness = std::make_unique<RelayHarness>();
     const std::string address = harness->reducer().fleet().servers().at(engine).entry.address;
@@ -222,7 +225,7 @@
     while (!start.chain.contains(engine))
         start = harness->running("/draft/1");
     harness->send(relay::event::AttemptEnded { start.attempt, AttemptResult::NotRun, 503, address });
-    // The check for its death comes at once; its answer tells of the time before.
+    // The check for its death is sent at once, so the answer describes the engine before the rejection.
     harness->send(relay::event::EngineChecked { engine, true, 1, false, {}, {}, {}, 0, 0.1 });
     CHECK_FALSE(harness->last<relay::effect::ShareFinding>().has_value());
     harness->tick(milliseconds(310));
@@ -232,47 +235,48 @@
 
 } // namespace
 
-// 17 of 205 engines left at once while the store was silent. 86 instances were turned away 566 times by one of them
-// within 8 s, each by itself, until the retries of all were spent.
-TEST(EngineCheck, AnEngineThatTurnsCallsAwayThoughItHasRoomIsClosed)
+// 17 of 205 engines left at the same time while the store was unavailable, so the registry did not show it. One of them
+// rejected 566 calls of 86 instances within 8 s, because each instance had to find out by itself. This used up the
+// retry budgets of all instances.
+TEST(EngineCheck, AnEngineThatRejectsCallsDespiteFreeCapacityIsReportedClosedAndGetsNoCalls)
 {
     const struct {
         const char* name;
         std::uint32_t queued;
         double memoryUsed;
-        bool closed;
+        bool isClosed;
     } cases[] = {
         { "empty", 0, 0, true },
         { "half full", 0, 0.5, true },
         { "short of memory", 0, 0.95, false },
-        { "short of places", 4, 0.3, false },
-        { "it says nothing of its memory", 0, 1, false },
+        { "short of slots", 4, 0.3, false },
+        { "does not report its memory", 0, 1, false },
     };
     const BackendId engine("b");
     for (const auto& each : cases) {
-        const auto harness = turnedAwayBy(engine, each.queued, each.memoryUsed);
-        const auto told = harness->last<relay::effect::ShareFinding>();
-        CHECK_EQUAL_TEXT(each.closed, told.has_value(), each.name);
-        if (!told)
+        const auto harness = harnessAfterRejection(engine, each.queued, each.memoryUsed);
+        const auto report = harness->last<relay::effect::ShareFinding>();
+        CHECK_EQUAL_TEXT(each.isClosed, report.has_value(), each.name);
+        if (!report)
             continue;
-        CHECK_TRUE_TEXT(told->finding == relay::effect::ShareFinding::Finding::Closed, each.name);
-        CHECK_TRUE_TEXT(told->engine == engine, each.name);
+        CHECK_TRUE_TEXT(report->finding == relay::effect::ShareFinding::Finding::Closed, each.name);
+        CHECK_TRUE_TEXT(report->engine == engine, each.name);
         for (int i = 0; i < 12; ++i)
             CHECK_FALSE_TEXT(harness->running("/draft/1").chain.contains(engine), each.name);
     }
 }
 
-TEST(EngineCheck, AnEngineThatAcceptsACallMeanwhileIsNotClosed)
+TEST(EngineCheck, AnEngineThatAcceptsACallAfterARejectionIsNotReportedClosed)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1");
     const Hop last = start.chain.hops().back();
     harness.send(relay::event::AttemptEnded { start.attempt, AttemptResult::NotRun, 503, last.address });
-    const auto chain = [&] { return harness.running("/draft/1"); };
-    auto next = chain();
+    const auto startCall = [&] { return harness.running("/draft/1"); };
+    auto next = startCall();
     for (int i = 0; i < 50 && !next.chain.contains(last.backend); ++i) {
         harness.tick(milliseconds(20));
-        next = chain();
+        next = startCall();
     }
     CHECK_TRUE(next.chain.contains(last.backend));
     harness.events(next.attempt, 1, 1);
@@ -281,26 +285,26 @@
     CHECK_FALSE(harness.last<relay::effect::ShareFinding>().has_value());
 }
 
-TEST(EngineCheck, AnotherInstancesWordOnAClosedEngineHoldsForAWhile)
+TEST(EngineCheck, AnEngineReportedClosedGetsNoCallsForTwoSeconds)
 {
     const struct {
         int afterMs;
-        bool used;
+        bool isUsed;
     } cases[] = { { 0, false }, { 1900, false }, { 2100, true } };
     const BackendId engine("b");
     for (const auto& each : cases) {
         RelayHarness harness;
         harness.send(relay::event::EnginesReportedClosed { { engineKey(engine) } });
         harness.tick(milliseconds(each.afterMs));
-        bool used = false;
+        bool isUsed = false;
         for (int i = 0; i < 12; ++i)
-            used = used || harness.running("/draft/1").chain.contains(engine);
-        CHECK_EQUAL(each.used, used);
+            isUsed = isUsed || harness.running("/draft/1").chain.contains(engine);
+        CHECK_EQUAL(each.isUsed, isUsed);
     }
 }
 
-// A process that has ended turns nobody away: connections to it are refused.
-TEST(EngineCheck, AnEngineThatCannotBeConnectedToIsChecked)
+// A process that has ended cannot reject calls. Connections to its address are refused instead.
+TEST(EngineCheck, AnEngineThatRefusesConnectionsIsChecked)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1");
@@ -309,23 +313,23 @@
     CHECK_TRUE(check && check->engine == start.server);
 }
 
-// 295 instances that each asked all silent engines when one died put 48,000 questions within 30 ms. Engines take 1 ms
-// for a new connection: sound ones missed the limit of 80 ms, and streams left them.
-TEST(EngineCheck, TheDeathOfOneEngineRaisesQuestionsOnlyWhereACallPassesOrWouldGo)
+// When one engine died, 295 instances sent 48,000 health checks to all silent engines within 30 ms. Accepting a
+// connection takes an engine 1 ms, so healthy engines missed the time limit of 80 ms and streams left them.
+TEST(EngineCheck, AfterTheDeathOfAnEngineOnlyEnginesThatCallsUseOrWouldUseAreChecked)
 {
-    for (const int others : { 0, 40, 200 }) {
+    for (const int otherEngines : { 0, 40, 200 }) {
         RelayHarness harness;
         const auto start = harness.running("/draft/1", 10);
-        for (int i = 0; i < others; ++i)
+        for (int i = 0; i < otherEngines; ++i)
             harness.send(relay::event::ServerRegistered { RelayHarness::engine("n" + std::to_string(i), 0, 4) });
         harness.tick(seconds(2));
         harness.events(start.attempt, 11, 12);
         harness.tick(milliseconds(200));
         const RelayEffects effects
             = harness.send(relay::event::EngineChecked { start.chain.hops().back().backend, false, 1, true });
-        const auto questions = std::count_if(effects.begin(), effects.end(),
+        const auto checks = std::count_if(effects.begin(), effects.end(),
             [](const RelayEffect& effect) { return std::holds_alternative<relay::effect::CheckEngine>(effect); });
-        // The other stage of the chain, and those of the chain that replaces it.
-        CHECK_TRUE_TEXT(questions <= 4, std::to_string(others).c_str());
+        // At most the other stage of the chain, and the stages of the chain that replaces it.
+        CHECK_TRUE_TEXT(checks <= 4, std::to_string(otherEngines).c_str());
     }
 }
--- a/tests/LeavingFleet.cpp
+++ b/tests/LeavingFleet.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-    constexpr Duration EventGap = std::chrono::milliseconds(40);
-    constexpr Duration Step = std::chrono::milliseconds(10);
+    constexpr Duration EventInterval = std::chrono::milliseconds(40);
+    constexpr Duration ClockStep = std::chrono::milliseconds(10);
 
 } // namespace
 
@@ -18,14 +18,14 @@
 {
 }
 
-void LeavingFleet::begin(std::uint32_t streams)
+void LeavingFleet::startStreams(std::uint32_t streams)
 {
     for (std::uint32_t i = 0; i < streams; ++i) {
         m_harness.call("/draft/1");
-        follow();
-        run(Step);
+        carryOutEffects();
+        advance(ClockStep);
     }
-    run(m_options.reading + EventGap);
+    advance(m_options.promptTime + EventInterval);
 }
 
 void LeavingFleet::add(const RegisteredServer& server) { send(event::ServerRegistered { server }); }
@@ -40,13 +40,13 @@
     add(leaving);
 }
 
-void LeavingFleet::run(Duration span)
+void LeavingFleet::advance(Duration span)
 {
     const TimePoint end = m_harness.now() + span;
     while (m_harness.now() < end) {
-        m_harness.tick(Step);
-        follow();
-        for (const AttemptId attempt : std::exchange(m_turnedAway, {}))
+        m_harness.tick(ClockStep);
+        carryOutEffects();
+        for (const AttemptId attempt : std::exchange(m_rejected, {}))
             send(event::AttemptEnded { attempt, AttemptResult::NotRun, 503, "" });
         endServers();
         deliverDue();
@@ -55,28 +55,28 @@
 
 std::size_t LeavingFleet::runningAt(const BackendId& server) const
 {
-    return static_cast<std::size_t>(
-        std::count_if(m_runs.begin(), m_runs.end(), [&](const auto& each) { return each.second.server == server; }));
+    return static_cast<std::size_t>(std::count_if(m_runningAttempts.begin(), m_runningAttempts.end(),
+        [&](const auto& each) { return each.second.server == server; }));
 }
 
 void LeavingFleet::send(RelayEventBody body)
 {
     m_harness.send(std::move(body));
-    follow();
+    carryOutEffects();
 }
 
-void LeavingFleet::follow()
+void LeavingFleet::carryOutEffects()
 {
     const RelayEffects effects = m_harness.effects();
     for (const RelayEffect& effect : effects) {
         if (const auto* started = std::get_if<effect::StartAttempt>(&effect))
             start(*started);
         else if (const auto* cancelled = std::get_if<effect::CancelAttempt>(&effect))
-            m_runs.erase(cancelled->attempt);
+            m_runningAttempts.erase(cancelled->attempt);
         else if (const auto* held = std::get_if<effect::HoldAnswer>(&effect))
-            m_runs.at(held->attempt).isHeld = true;
+            m_runningAttempts.at(held->attempt).isHeld = true;
         else if (const auto* released = std::get_if<effect::ContinueAnswer>(&effect))
-            m_runs.at(released->attempt).isHeld = false;
+            m_runningAttempts.at(released->attempt).isHeld = false;
         else if (std::holds_alternative<effect::BreakAnswer>(effect))
             ++m_brokenOff;
     }
@@ -85,15 +85,15 @@
 void LeavingFleet::start(const effect::StartAttempt& started)
 {
     if (started.resumeAfter) {
-        ++m_furtherAttempts;
+        ++m_resumeAttempts;
         if (m_rejectionsLeft) {
             --m_rejectionsLeft;
-            m_turnedAway.push_back(started.attempt);
+            m_rejected.push_back(started.attempt);
             return;
         }
     }
-    m_runs[started.attempt] = { started.call, started.server, started.chain, m_harness.now() + m_options.reading,
-        started.resumeAfter.value_or(0) + 1 };
+    m_runningAttempts[started.attempt] = { started.call, started.server, started.chain,
+        m_harness.now() + m_options.promptTime, started.resumeAfter.value_or(0) + 1 };
 }
 
 void LeavingFleet::endServers()
@@ -105,14 +105,14 @@
     }
     for (const BackendId& server : ended) {
         m_endAt.erase(server);
-        std::vector<AttemptId> cut;
-        for (const auto& [attempt, run] : m_runs) {
-            if (run.server == server || run.chain.contains(server))
-                cut.push_back(attempt);
+        std::vector<AttemptId> broken;
+        for (const auto& [attempt, running] : m_runningAttempts) {
+            if (running.server == server || running.chain.contains(server))
+                broken.push_back(attempt);
         }
-        for (const AttemptId attempt : cut) {
-            m_runs.erase(attempt);
-            ++m_cutByEnd;
+        for (const AttemptId attempt : broken) {
+            m_runningAttempts.erase(attempt);
+            ++m_brokenByServerEnd;
             send(event::AttemptEnded { attempt, AttemptResult::Broken, 200, "" });
         }
         remove(server);
@@ -122,28 +122,28 @@
 void LeavingFleet::deliverDue()
 {
     std::vector<AttemptId> due;
-    for (const auto& [attempt, run] : m_runs) {
-        if (!run.isHeld && m_harness.now() >= run.nextEvent)
+    for (const auto& [attempt, running] : m_runningAttempts) {
+        if (!running.isHeld && m_harness.now() >= running.nextEventAt)
             due.push_back(attempt);
     }
     for (const AttemptId attempt : due) {
-        if (m_runs.count(attempt))
+        if (m_runningAttempts.count(attempt))
             deliver(attempt);
     }
 }
 
 void LeavingFleet::deliver(AttemptId attempt)
 {
-    Run& run = m_runs.at(attempt);
-    const std::uint64_t number = run.next++;
-    run.nextEvent += EventGap;
-    std::uint64_t& last = m_delivered[run.call];
-    m_misplaced += number == last + 1 ? 0 : 1;
-    last = number;
-    send(event::EventDelivered { attempt, number });
-    if (number < m_options.events || !m_runs.count(attempt))
+    RunningAttempt& running = m_runningAttempts.at(attempt);
+    const std::uint64_t eventId = running.nextEventId++;
+    running.nextEventAt += EventInterval;
+    std::uint64_t& last = m_lastDelivered[running.call];
+    m_misplaced += eventId == last + 1 ? 0 : 1;
+    last = eventId;
+    send(event::EventDelivered { attempt, eventId });
+    if (eventId < m_options.events || !m_runningAttempts.count(attempt))
         return;
-    m_runs.erase(attempt);
+    m_runningAttempts.erase(attempt);
     ++m_completed;
     send(event::AttemptEnded { attempt, AttemptResult::Completed, 200, "" });
 }
--- a/tests/LeavingFleet.h
+++ b/tests/LeavingFleet.h
@@ -7,50 +7,58 @@
 
 namespace crocusmount::relay {
 
-/// Engines that run streams on a virtual clock: each reads a prompt before its first event, then sends an event every
-/// 40 ms, and ends at a given time. It follows the reducer's effects as the shell does.
+/// Simulates engines that run streams on a virtual clock, and carries out the effects of the reducer as the shell does.
+/// An engine processes the prompt of a stream before it sends the first event, then sends an event every 40 ms. Engines
+/// can leave, which ends them after a given time.
 class LeavingFleet {
 public:
     struct Options {
-        Duration reading = std::chrono::milliseconds(120); ///< from the start of an attempt to its first event
-        std::uint64_t events = 150; ///< of each stream
-        std::uint32_t rejections = 0; ///< attempts that are turned away, of those that go on with an answer
-        RelayOptions relay {};
+        Duration promptTime = std::chrono::milliseconds(120); ///< from the start of an attempt to its first event
+        std::uint64_t events = 150; ///< number of events of each stream
+        std::uint32_t rejections = 0; ///< number of attempts to resume a stream that engines reject
+        RelayOptions relay {}; ///< options of the reducer
     };
 
     explicit LeavingFleet(Options);
 
-    /// Begins streams, one each 10 ms, and lets them run until each has had an event.
-    void begin(std::uint32_t streams);
+    /// Starts one stream every 10 ms, and lets the clock run until each stream has had an event.
+    void startStreams(std::uint32_t streams);
+    /// Adds a server to the registry, or updates its entry.
     void add(const RegisteredServer&);
+    /// Removes a server from the registry.
     void remove(const BackendId&);
-    /// Has a server report that it leaves; it ends after a time, and what runs there breaks off.
+    /// Marks a server as leaving in the registry. After the drain time the server ends, and all attempts through it
+    /// break off.
     void leave(const RegisteredServer&, Duration drain);
-    /// Lets time pass.
-    void run(Duration);
+    /// Advances the virtual clock.
+    void advance(Duration);
 
+    /// @return number of answers that were delivered completely
     std::uint32_t completed() const { return m_completed; }
+    /// @return number of answers that ended incomplete
     std::uint32_t brokenOff() const { return m_brokenOff; }
-    /// @return events that reached a caller twice or out of order
+    /// @return number of events that reached a caller twice or out of order
     std::uint32_t misplaced() const { return m_misplaced; }
-    std::uint32_t furtherAttempts() const { return m_furtherAttempts; }
-    /// @return attempts that broke off as their server ended
-    std::uint32_t cutByEnd() const { return m_cutByEnd; }
-    /// @return attempts that run at a server as their first stage
+    /// @return number of attempts that were started to resume a stream
+    std::uint32_t resumeAttempts() const { return m_resumeAttempts; }
+    /// @return number of attempts that broke off because a server of their chain ended
+    std::uint32_t brokenByServerEnd() const { return m_brokenByServerEnd; }
+    /// @return number of running attempts with a server as their first stage
     std::size_t runningAt(const BackendId&) const;
 
 private:
-    struct Run {
+    /// A running attempt.
+    struct RunningAttempt {
         RequestId call;
         BackendId server;
         Chain chain;
-        TimePoint nextEvent;
-        std::uint64_t next = 1; ///< the event to send next
-        bool isHeld = false;
+        TimePoint nextEventAt;
+        std::uint64_t nextEventId = 1;
+        bool isHeld = false; ///< whether its events are held back, see effect::HoldAnswer
     };
 
     void send(RelayEventBody);
-    void follow();
+    void carryOutEffects();
     void start(const effect::StartAttempt&);
     void endServers();
     void deliverDue();
@@ -58,16 +66,16 @@
 
     Options m_options;
     RelayHarness m_harness;
-    std::map<AttemptId, Run> m_runs;
-    std::vector<AttemptId> m_turnedAway; ///< whose rejection has not been reported yet
-    std::map<RequestId, std::uint64_t> m_delivered; ///< the last event that each caller has
-    std::map<BackendId, TimePoint> m_endAt;
+    std::map<AttemptId, RunningAttempt> m_runningAttempts;
+    std::vector<AttemptId> m_rejected; ///< rejected attempts that the reducer has not been told of yet
+    std::map<RequestId, std::uint64_t> m_lastDelivered; ///< id of the last event that each caller received
+    std::map<BackendId, TimePoint> m_endAt; ///< end of each leaving server
     std::uint32_t m_rejectionsLeft = 0;
     std::uint32_t m_completed = 0;
     std::uint32_t m_brokenOff = 0;
     std::uint32_t m_misplaced = 0;
-    std::uint32_t m_furtherAttempts = 0;
-    std::uint32_t m_cutByEnd = 0;
+    std::uint32_t m_resumeAttempts = 0;
+    std::uint32_t m_brokenByServerEnd = 0;
 };
 
 } // namespace crocusmount::relay
--- a/tests/PlacementTest.cpp
+++ b/tests/PlacementTest.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// The users' model: 80 layers of 1,750 MB and 590,000 bytes of KV cache a token.
-EngineModel usersModel()
+/// @return a model with 80 layers of 1,750 MB, and 590,000 bytes of KV cache per token.
+EngineModel largeModel()
 {
     EngineModel model;
     model.layers = 80;
@@ -23,8 +23,8 @@
     return model;
 }
 
-/// Three data centres with the users' cards.
-std::vector<LayerPlanner::Engine> usersEngines()
+/// @return engines with several kinds of accelerators in three data centres, without layers
+std::vector<LayerPlanner::Engine> mixedEngines()
 {
     const struct {
         const char* dataCentre;
@@ -51,6 +51,7 @@
     return engines;
 }
 
+/// Applies placement orders, as if the engines had loaded the layers.
 void carryOut(std::vector<LayerPlanner::Engine>& engines, const std::vector<LayerPlanner::Order>& orders)
 {
     for (const auto& order : orders) {
@@ -61,6 +62,8 @@
     }
 }
 
+/// @param dataCentre  empty for all data centres
+/// @return the smallest number of engines that hold a layer
 int fewestHolders(const std::vector<LayerPlanner::Engine>& engines, const std::string& dataCentre)
 {
     std::vector<int> holders(80);
@@ -78,6 +81,7 @@
     return { BackendId(id), std::string(id) + ":1", { begin, end }, dataCentre, ms, 0 };
 }
 
+/// @return the engine id and layers of each stage, such as "a0-4 b4-8 "
 std::string textOf(const std::optional<Chain>& chain)
 {
     std::string text;
@@ -91,10 +95,10 @@
 
 TEST_GROUP(Placement) {};
 
-TEST(Placement, AColdFleetHoldsTheModelInEachDataCentre)
+TEST(Placement, EnginesWithoutLayersAreOrderedToHoldTheModelInEachDataCentre)
 {
-    const EngineModel model = usersModel();
-    auto engines = usersEngines();
+    const EngineModel model = largeModel();
+    auto engines = mixedEngines();
     const auto orders = LayerPlanner::plan(model, engines);
     CHECK_EQUAL(engines.size(), orders.size());
     carryOut(engines, orders);
@@ -103,11 +107,11 @@
     CHECK_TRUE(fewestHolders(engines, "") >= 3);
 }
 
-TEST(Placement, NoEngineIsOrderedToHoldMoreThanFits)
+TEST(Placement, NoEngineIsOrderedToHoldMoreLayersThanFit)
 {
-    const EngineModel model = usersModel();
+    const EngineModel model = largeModel();
     for (std::size_t count : { 1U, 3U, 10U, 38U }) {
-        auto engines = usersEngines();
+        auto engines = mixedEngines();
         engines.resize(count);
         for (const auto& order : LayerPlanner::plan(model, engines)) {
             for (const auto& engine : engines) {
@@ -120,11 +124,11 @@
     }
 }
 
-// skanas-profili-grown trouble-1: an a100 that came back was sent where slow cards held nothing, not to the layers that
-// only slow cards held.
-TEST(Placement, AFastEngineGoesWhereOnlySlowOnesHoldLayers)
+// A fast engine that came back was ordered to hold layers that no slow engine held, not the layers that only slow
+// engines held (simulated day skanas-profili-grown trouble-1, an a100).
+TEST(Placement, AFastEngineIsPlacedOnLayersThatOnlySlowEnginesHold)
 {
-    const EngineModel model = usersModel();
+    const EngineModel model = largeModel();
     std::vector<LayerPlanner::Engine> engines;
     const auto add = [&](const std::string& id, const char* kind, LayerRange held) {
         LayerPlanner::Engine engine;
@@ -137,7 +141,7 @@
     };
     for (std::uint32_t begin = 0; begin < 80; begin += 8)
         add("l4-" + std::to_string(begin), "l4", { begin, begin + 8 });
-    // As many slow holders of the first 28 layers as the others have in all, and more.
+    // The first 28 layers have at least as many holders as the other layers, but all of them are slow.
     for (std::uint32_t begin = 0; begin < 56; begin += 8)
         add("extra-" + std::to_string(begin), "l4", { begin % 28, begin % 28 + 8 });
     for (std::uint32_t begin = 28; begin < 80; begin += 5)
@@ -148,82 +152,85 @@
     CHECK_TRUE(orders.front().layers.begin <= 1);
 }
 
-// odpoklic-lj-grown scale-1: each call takes a slot of its first stage, and too few engines held the first layer.
-TEST(Placement, MoreEnginesHoldTheFirstLayerWhereSlotsAreFew)
+// Each call uses a slot of its first stage, and too few engines held the first layer (simulated day odpoklic-lj-grown
+// scale-1).
+TEST(Placement, MoreEnginesHoldTheFirstLayerIfEnginesHaveFewSlots)
 {
-    const auto entriesWith = [](std::uint32_t slots) {
-        auto engines = usersEngines();
+    const auto firstStagesWith = [](std::uint32_t slots) {
+        auto engines = mixedEngines();
         for (auto& engine : engines)
             engine.slots = slots;
-        carryOut(engines, LayerPlanner::plan(usersModel(), engines));
+        carryOut(engines, LayerPlanner::plan(largeModel(), engines));
         return std::count_if(engines.begin(), engines.end(),
             [](const auto& engine) { return engine.held.size() && engine.held.begin == 0; });
     };
-    CHECK_TRUE(entriesWith(60) >= entriesWith(100000) + 2);
-    CHECK_TRUE(entriesWith(60) >= 8); // About 500 calls fit into the memory of all engines.
+    CHECK_TRUE(firstStagesWith(60) >= firstStagesWith(100000) + 2);
+    CHECK_TRUE(firstStagesWith(60) >= 8); // About 500 calls fit into the memory of all engines.
 }
 
-TEST(Placement, ASettledFleetIsLeftAlone)
+TEST(Placement, NoOrdersAreGivenOnceThePlacementIsStable)
 {
-    auto engines = usersEngines();
+    auto engines = mixedEngines();
     for (int round = 0; round < 30; ++round)
-        carryOut(engines, LayerPlanner::plan(usersModel(), engines));
-    CHECK_EQUAL(0U, LayerPlanner::plan(usersModel(), engines).size());
+        carryOut(engines, LayerPlanner::plan(largeModel(), engines));
+    CHECK_EQUAL(0U, LayerPlanner::plan(largeModel(), engines).size());
 }
 
-// skanas-profili scale-1: an a100 left, and its data centre had no holder of its 28 layers until the end of the day.
-TEST(Placement, EnginesMoveWhereHoldersAreMissing)
+// After an engine left, no engine of its data centre held its 28 layers until the end of the day (simulated day
+// skanas-profili scale-1, an a100).
+TEST(Placement, EnginesMoveToLayersWithoutAHolder)
 {
-    auto engines = usersEngines();
-    carryOut(engines, LayerPlanner::plan(usersModel(), engines));
+    auto engines = mixedEngines();
+    carryOut(engines, LayerPlanner::plan(largeModel(), engines));
     std::erase_if(engines, [](const auto& engine) { return engine.id.value() == "b-a100-0"; });
     CHECK_EQUAL(0, fewestHolders(engines, "b"));
     for (int round = 0; round < 10; ++round) {
-        const auto orders = LayerPlanner::plan(usersModel(), engines);
-        CHECK_TRUE(orders.size() <= 2); // The rest must serve meanwhile.
+        const auto orders = LayerPlanner::plan(largeModel(), engines);
+        CHECK_TRUE(orders.size() <= 2); // The other engines must keep serving.
         carryOut(engines, orders);
     }
-    int holes = 0;
+    int missingLayers = 0;
     for (std::uint32_t layer = 0; layer < 80; ++layer) {
-        holes += std::none_of(engines.begin(), engines.end(), [&](const auto& engine) {
+        missingLayers += std::none_of(engines.begin(), engines.end(), [&](const auto& engine) {
             return engine.dataCentre.value() == "b" && engine.held.begin <= layer && layer < engine.held.end;
         });
     }
-    // 28 layers were missing, and the cards left there hold 78. A gap smaller than a card's range is not worth a move.
-    CHECK_TRUE(holes <= 8);
+    // 28 layers were missing, and the remaining engines of this data centre can hold 78. A gap smaller than the range
+    // of an engine is not worth a move.
+    CHECK_TRUE(missingLayers <= 8);
 }
 
-// Engines that dozens of streams passed through were moved as readily as idle ones, and held nothing until the last of
-// these had ended, while the fleet was short of room.
-TEST(Placement, AnEngineIsMovedOnlyWhileLittleRunsThere)
+// Engines with dozens of running streams were moved as often as idle ones. A moved engine holds no layers until its
+// last stream has ended, and this happened while the fleet was short of capacity.
+TEST(Placement, AnEngineIsMovedOnlyWhileFewStreamsUseIt)
 {
     const struct {
         const char* name;
-        std::vector<double> use; ///< part of the memory for requests in use, of each holder of the same layers
-        std::vector<std::string> moved;
+        std::vector<double> memoryUse; ///< used fraction of KV cache memory of each holder of layers 8 to 16
+        std::vector<std::string> moved; ///< ids of these holders that are moved
     } cases[] = {
         { "one of them is idle", { 0.9, 0, 0.9 }, { "1" } },
-        { "little runs at one of them", { 0.9, 0.5, 0.05 }, { "2" } },
+        { "one of them is little used", { 0.9, 0.5, 0.05 }, { "2" } },
         { "two of them are idle", { 0, 0.9, 0 }, { "0", "2" } },
-        { "all are in use", { 0.5, 0.5, 0.5 }, {} },
-        { "more is booked than fits", { 3, 3, 3 }, {} },
+        { "all of them are in use", { 0.5, 0.5, 0.5 }, {} },
+        { "all of them are overcommitted", { 3, 3, 3 }, {} },
     };
-    const EngineModel model = usersModel();
+    const EngineModel model = largeModel();
     const AcceleratorKind& card = *model.kind("l4");
     for (const auto& each : cases) {
         std::vector<LayerPlanner::Engine> engines;
-        const auto add = [&](const std::string& id, const LayerRange& held, double use) {
+        const auto add = [&](const std::string& id, const LayerRange& held, double memoryUse) {
             LayerPlanner::Engine engine;
             engine.id = BackendId(id);
             engine.dataCentre = DataCentreId("a");
             engine.accelerator = card.name;
             engine.held = held;
-            engine.tokenLayers = use * model.kvTokenLayers(card, held.size());
+            engine.tokenLayers = memoryUse * model.kvTokenLayers(card, held.size());
             engines.push_back(engine);
         };
-        for (std::size_t i = 0; i < each.use.size(); ++i)
-            add(std::to_string(i), { 8, 16 }, each.use[i]);
-        // Nothing holds the last eight layers.
+        for (std::size_t i = 0; i < each.memoryUse.size(); ++i)
+            add(std::to_string(i), { 8, 16 }, each.memoryUse[i]);
+        // No engine holds the last eight layers.
         for (std::uint32_t begin = 0; begin < 72; begin += 8)
             add("holder-" + std::to_string(begin), { begin, begin + 8 }, 1);
         std::vector<std::string> moved;
@@ -234,31 +241,33 @@
     }
 }
 
-TEST(Placement, AnEngineWithAnOrderUnderWayGetsNoOther)
+TEST(Placement, AnEngineGetsNoSecondOrderWhileOneIsPending)
 {
-    auto engines = usersEngines();
+    auto engines = mixedEngines();
     for (auto& engine : engines)
         engine.ordered = LayerRange { 0, 5 };
-    CHECK_EQUAL(0U, LayerPlanner::plan(usersModel(), engines).size());
+    CHECK_EQUAL(0U, LayerPlanner::plan(largeModel(), engines).size());
 }
 
-TEST(Placement, TheCheapestChainTilesTheModel)
+TEST(Placement, TheCheapestChainRunsEachLayerOnceAndInOrder)
 {
     const struct {
         const char* name;
         std::vector<ChainCandidate> candidates;
         const char* expected;
     } cases[] = {
-        { "nothing", {}, "" },
-        { "gap", { candidate("a", 0, 4, 0, 1), candidate("b", 5, 8, 0, 1) }, "" },
-        { "one", { candidate("a", 0, 8, 0, 1) }, "a0-8 " },
-        { "overlap runs once", { candidate("a", 0, 5, 0, 1), candidate("b", 3, 8, 0, 2) }, "a0-5 b5-8 " },
-        { "slow overlap runs least", { candidate("a", 0, 5, 0, 9), candidate("b", 3, 8, 0, 1) }, "a0-3 b3-8 " },
-        { "local first", { candidate("a", 0, 4, 0, 1), candidate("b", 4, 8, 1, 1), candidate("c", 4, 8, 0, 2) },
-            "a0-4 c4-8 " },
-        { "across where nothing is local", { candidate("a", 0, 4, 0, 1), candidate("b", 4, 8, 1, 1) }, "a0-4 b4-8 " },
-        { "past the model", { candidate("a", 0, 9, 0, 1) }, "" },
-        { "no stage twice", { candidate("a", 0, 8, 0, 3), candidate("b", 2, 4, 0, 0.01) }, "a0-8 " },
+        { "no candidates", {}, "" },
+        { "layers without a holder", { candidate("a", 0, 4, 0, 1), candidate("b", 5, 8, 0, 1) }, "" },
+        { "one engine", { candidate("a", 0, 8, 0, 1) }, "a0-8 " },
+        { "overlapping layers run once", { candidate("a", 0, 5, 0, 1), candidate("b", 3, 8, 0, 2) }, "a0-5 b5-8 " },
+        { "overlapping layers run at the faster engine", { candidate("a", 0, 5, 0, 9), candidate("b", 3, 8, 0, 1) },
+            "a0-3 b3-8 " },
+        { "an engine in the same data centre is preferred",
+            { candidate("a", 0, 4, 0, 1), candidate("b", 4, 8, 1, 1), candidate("c", 4, 8, 0, 2) }, "a0-4 c4-8 " },
+        { "another data centre if necessary", { candidate("a", 0, 4, 0, 1), candidate("b", 4, 8, 1, 1) },
+            "a0-4 b4-8 " },
+        { "layers beyond the model", { candidate("a", 0, 9, 0, 1) }, "" },
+        { "no engine is used twice", { candidate("a", 0, 8, 0, 3), candidate("b", 2, 4, 0, 0.01) }, "a0-8 " },
     };
     for (const auto& each : cases)
         CHECK_TEXT(each.expected, textOf(ChainFinder::find(8, each.candidates, 0)));
@@ -273,19 +282,19 @@
 
 TEST(Placement, AnEngineCostsMoreTheFullerItIs)
 {
-    const EngineModel model = usersModel();
-    double before = 0;
+    const EngineModel model = largeModel();
+    double previousCost = 0;
     for (const double tokens : { 0.0, 20000.0, 60000.0, 100000.0 }) {
         const EngineCost cost(model, model.kinds[0], 28, tokens);
-        CHECK_TRUE(cost.marginalMsPerLayer() > before);
-        before = cost.marginalMsPerLayer();
+        CHECK_TRUE(cost.marginalMsPerLayer() > previousCost);
+        previousCost = cost.marginalMsPerLayer();
     }
     CHECK_TRUE(EngineCost(model, model.kinds[0], 41, 10000).fill() > 1);
 }
 
-TEST(Placement, AHolderCountsByItsSpeedAgainstThePlacedEngineOrTheFleet)
+TEST(Placement, AHolderIsWeightedBySpeedRelativeToThePlacedEngineOrTheFleet)
 {
-    const EngineModel model = usersModel(); // Kinds 0 to 2: slowness 2.4, 5.3 and 16.
+    const EngineModel model = largeModel(); // Kinds 0 to 2 have the step factors 2.4, 5.3 and 16.
     const struct {
         const char* name;
         double meanSlowness;
@@ -293,11 +302,11 @@
         std::size_t placed;
         double weight;
     } cases[] = {
-        { "a fast one counts in full", 8, 0, 2, 1 },
-        { "a slow one counts by the fleet's mean", 8, 2, 2, 0.5 },
-        { "in a fleet of slow cards it counts in full", 16, 2, 2, 1 },
-        { "beside a fast engine it counts by that one", 16, 2, 0, 0.15 },
-        { "its own kind counts in full for a fast engine", 8, 0, 0, 1 },
+        { "a fast engine has full weight", 8, 0, 2, 1 },
+        { "a slow engine is weighted by the mean of the fleet", 8, 2, 2, 0.5 },
+        { "a slow engine in a slow fleet has full weight", 16, 2, 2, 1 },
+        { "a slow engine is weighted by a faster placed engine", 16, 2, 0, 0.15 },
+        { "an engine of the kind of the placed engine has full weight", 8, 0, 0, 1 },
     };
     for (const auto& each : cases) {
         HolderWeights weights(model, each.meanSlowness);
