--- a/src/relay/CallPlacer.cpp
+++ b/src/relay/CallPlacer.cpp
@@ -32,14 +32,13 @@
     /// Fraction of this instance's calls placed since the last load reports that each other instance is assumed to have
     /// placed on the same engine, because instances make similar choices between two reports.
     constexpr double SimilarChoiceFraction = 0.3;
-    /// Factor on this instance's share of the slots of a plain service's server. Above this number of own calls the
-    /// server counts as full.
+    /// Number of own calls at which a plain service's server counts as full, as a multiple of this instance's share of
+    /// the server's slots.
     constexpr double SlotOvercommit = 2;
 
     /// Cost of entering a chain at an engine without a free slot, where calls wait for another call to end.
     constexpr double NoSlotPenaltyMs = 200;
-    /// Exponent of the used fraction of slots. It keeps the cost of entering negligible while half of the slots are
-    /// free.
+    /// Exponent of the used fraction of slots. The cost of entering stays negligible while half of the slots are free.
     constexpr double SlotUseExponent = 8;
 
     /// @param calls  estimated calls of all instances that have this engine as first stage
--- a/src/relay/RegisteredServer.h
+++ b/src/relay/RegisteredServer.h
@@ -17,7 +17,7 @@
     std::string address; ///< "ip:port"
     DataCentreId dataCentre;
     std::string accelerator; ///< name of its AcceleratorKind; empty for a plain service
-    std::uint32_t slots = 1; ///< number of calls that may run there at the same time
+    std::uint32_t slots = 1; ///< maximum concurrent calls with this server as first stage or only server
     bool leaving = false; ///< whether the server drains its calls and will exit
     LayerRange layers; ///< loaded and ready to run; empty if none
 
--- a/src/relay/ServerFleet.cpp
+++ b/src/relay/ServerFleet.cpp
@@ -6,11 +6,9 @@
 
 namespace {
 
-    /// Weight of a success in the moving average of the failure rate. About the last ten attempts determine the
-    /// average.
+    /// Weight of a success in the moving average of the failure rate. About the last ten attempts determine the rate.
     constexpr double SuccessWeight = 0.1;
-    /// Weight of a failure in the moving average of the failure rate. Three consecutive failures raise the rate above
-    /// 0.5.
+    /// Weight of a failure in this moving average. Three consecutive failures raise the failure rate above 0.5.
     constexpr double FailureWeight = 0.25;
     /// How long a server is avoided after its first consecutive failure.
     constexpr Duration FirstFailureAvoidance = std::chrono::milliseconds(500);
--- a/src/relay/ServerFleet.h
+++ b/src/relay/ServerFleet.h
@@ -88,9 +88,8 @@
     void book(const Chain&, double tokens);
     /// Reverts book().
     void unbook(const Chain&, double tokens);
-    /// Sets the load that the other instances report on each engine.
-    /// @param loads  by engineKey, or nothing if unknown
-    void setOthersLoad(const std::optional<EngineLoads>& loads, TimePoint now);
+    /// Sets the load that the other instances report on each engine, by engineKey, or nothing if this load is unknown.
+    void setOthersLoad(const std::optional<EngineLoads>&, TimePoint now);
     bool knowsOthersLoad() const { return m_knowsOthersLoad; }
     /// @return this instance's load reports about the engines that its calls use or that it avoids
     std::vector<EngineLoad> ownLoads(TimePoint now) const;
