--- a/src/relay/Call.h
+++ b/src/relay/Call.h
@@ -13,74 +13,76 @@
 namespace crocusmount::relay {
 
 enum class CallState {
-    Waiting, ///< for a server with room
-    Running,
+    Waiting, ///< queued for a server with capacity, held back, or interrupted
+    Running, ///< has at least one attempt in flight
 };
 
-/// One try at a call.
+/// One attempt to run a call at a backend server.
 struct Attempt {
     AttemptId id;
-    BackendId server; ///< the first stage, or the plain service's server
-    Chain chain; ///< its stages; empty for a plain service
-    Chain reroute; ///< ordered and not yet answered; no hops: none
-    std::uint32_t reroutes = 0;
-    std::uint32_t questions = 0; ///< to its first stage, where it stands still
-    TimePoint lastQuestion;
-    std::uint32_t events = 0; ///< delivered to the caller
-    bool sent = false; ///< its bytes went out
-    std::optional<TimePoint> begunAt; ///< when the head of a success came: the server had begun to run the call
-    bool late = false; ///< no event came within the objective
-    bool lostStage = false; ///< one of its stages has ended: without a reroute it cannot go on
-    bool lostServer = false; ///< the start of the server that took it has ended
-    TimePoint nextTry; ///< to replace the lost stage
-    TimePoint nextMove; ///< off a stage that leaves
-    std::optional<TimePoint> heldUntil; ///< what its server sends is held back for the other attempt, so long at most
-    TimePoint started;
+    BackendId server; ///< the first stage of a chain, or the server of a plain service
+    Chain chain; ///< stages that run the call; empty for a plain service
+    Chain pendingReroute; ///< chain ordered by a reroute that the first stage has not answered; empty if there is none
+    std::uint32_t rerouteCount = 0; ///< reroutes ordered
+    std::uint32_t stallQueries = 0; ///< times the first stage was asked which stage has stalled
+    TimePoint lastStallQueryAt;
+    std::uint32_t eventsDelivered = 0; ///< events of this attempt that the caller received
+    bool wasSent = false; ///< bytes of the call were sent, so the server may have run it
+    std::optional<TimePoint>
+        answerBegunAt; ///< when a success header arrived, which shows that the server runs the call
+    bool isFirstEventLate = false; ///< no event arrived within the route's objective
+    bool hasLostStage = false; ///< a stage has ended; only a reroute lets the attempt continue
+    bool hasServerEnded = false; ///< the process of `server` that accepted the attempt has ended
+    TimePoint nextReplacementAt; ///< earliest time of the next search for a replacement of the lost stage
+    TimePoint nextMoveAt; ///< earliest time of the next search for a way off a leaving stage
+    std::optional<TimePoint> answerHeldUntil; ///< latest time until which events are held back for the second attempt
+    TimePoint startedAt;
 
-    /// @return whether a server takes part in it
-    bool passes(const BackendId& id) const { return server == id || chain.contains(id); }
+    /// @return whether the server is the attempt's server or one of its stages
+    bool usesServer(const BackendId& id) const { return server == id || chain.contains(id); }
 };
 
-/// One call between its arrival and its final answer.
+/// A call from its admission to its final answer.
 struct Call {
     RequestId id;
     CallSpec spec;
-    RequestIdentity identity; ///< what it has in common with its repeats
-    std::shared_ptr<const RouteTable> routes; ///< under which it was admitted; keeps the route alive
+    RequestIdentity identity; ///< equal for all calls that repeat one request
+    std::shared_ptr<const RouteTable> routes; ///< table at admission; owns `route`
     const Route* route = nullptr;
     ServiceId service;
     WorkspaceId workspace; ///< empty on an anonymous route
-    int rank = 0;
+    int rank = 0; ///< calls with a lower rank are placed first
     CallState state = CallState::Waiting;
     TimePoint arrived;
-    TimePoint deadline; ///< the earlier of the caller's and the route's
-    TimePoint waitUntil; ///< the longest wait for room
-    double tokens = 0; ///< prompt and expected answer, booked on the stages
-    Attempt main; ///< while running
-    std::optional<Attempt> second; ///< started because the main one stands still; the first to go on is kept
-    TimePoint lastProgress; ///< an event, or the start of the main attempt
-    Duration usualGap {}; ///< moving average between two events
-    std::vector<BackendId> ranOn; ///< servers of ended attempts that may have run it
-    std::uint32_t rejections = 0; ///< attempts that reached no server, or one that did not run the call
-    std::optional<Reason> interruption; ///< why its answer waits for another server
-    TimePoint nextResume; ///< no search for that server before
-    bool awaitsRetry = false; ///< the service's retries were spent at the last search
-    TimePoint lastDelivered; ///< when the caller had the last event
-    bool mayHaveRun = false;
-    bool answering = false; ///< the caller has a part of the answer
-    std::uint64_t lastEvent = 0; ///< that the caller has
-    bool ranSoundly = false; ///< for longer than a request that crashes its server does
-    std::optional<TimePoint> heldUntil; ///< it is out of the queue until it is known what ended its servers
-    std::optional<TimePoint> holdEnd; ///< it is held no longer
-    std::vector<BackendId> avoid; ///< failed this call before
+    TimePoint deadline; ///< the earlier of the caller's deadline and the route's timeout
+    TimePoint waitUntil; ///< a call still waiting at this time is refused or broken off
+    double tokens = 0; ///< prompt and expected answer, in tokens; booked on each stage
+    Attempt main; ///< meaningful only in state Running
+    std::optional<Attempt> second; ///< runs beside `main`; the first of the two to deliver an event is kept
+    TimePoint lastProgress; ///< last event, start of the main attempt, order of a reroute, or end of an answer hold
+    Duration meanEventGap {}; ///< moving average of the time between two events
+    std::vector<BackendId> mayHaveRunOn; ///< servers of ended attempts that may have run the call
+    std::uint32_t rejections = 0; ///< attempts that could not connect or that the server did not run
+    std::optional<Reason> interruptionReason; ///< why a partly delivered answer lost its server; set until it resumes
+    TimePoint nextResumeAt; ///< earliest time of the next search for a server to resume at
+    bool waitsForRetryBudget = false; ///< the last such search found the service's retry budget empty
+    TimePoint lastDeliveredAt; ///< when the caller received the last event
+    bool mayHaveRun = false; ///< a server may have run the call
+    bool hasPartialAnswer = false; ///< the caller received at least one event
+    std::uint64_t lastEventId = 0; ///< id of the last event that the caller has, here or from an earlier call
+    bool hasRunSoundly = false; ///< ran longer than a request that crashes its server, see SoundRun
+    std::optional<TimePoint> nextHoldCheckAt; ///< set while the call is kept out of the queue for a crash verdict
+    std::optional<TimePoint> holdDeadline; ///< the call is queued at this time even without a verdict
+    std::vector<BackendId> avoid; ///< servers that failed or rejected this call, or stalled under it
 
-    /// @return whether a server failed it; how late such a call is tells nothing of the load
-    bool hasMetTrouble() const { return !avoid.empty(); }
+    /// Such calls do not feed the concurrency limit: their delay reflects the failure, not the load.
+    /// @return whether a server failed this call before
+    bool hasAvoidedServers() const { return !avoid.empty(); }
 
-    /// @return the running attempt of that id, which is one of the two
+    /// @param wanted  id of a running attempt of this call
     Attempt& attempt(AttemptId wanted) { return main.id == wanted ? main : *second; }
 
-    bool hasFailed() const { return !ranOn.empty() || rejections; }
+    bool hasFailedAttempt() const { return !mayHaveRunOn.empty() || rejections; }
 
     void addAvoided(const BackendId& id)
     {
--- a/src/relay/CallSpec.h
+++ b/src/relay/CallSpec.h
@@ -9,18 +9,18 @@
 
 namespace crocusmount::relay {
 
-/// What the relay needs to know of a call; its bytes stay with the shell.
+/// The properties of a call that routing and admission depend on. The caller of the reducer keeps the call's bytes.
 struct CallSpec {
-    std::string name; ///< the caller's own id of this call, for logs
+    std::string name; ///< the caller's id of this call, for logs
     std::string host; ///< without a port
     std::string path; ///< without the query
-    ContentDigest content; ///< of all that the caller sent but headers: a repeat has the same under another name
-    std::string key; ///< the bearer key; empty if none was sent
-    Duration patience {}; ///< how long the caller waits; zero: not said
+    ContentDigest content; ///< of everything but the headers; equal for a repeat, even under another name
+    std::string key; ///< bearer key; empty if none was sent
+    Duration patience {}; ///< how long the caller waits for the answer; zero if unknown
     std::uint32_t promptTokens = 0;
     std::uint32_t maxAnswerTokens = 0;
-    std::uint32_t expectedAnswerTokens = 0; ///< the caller's estimate; zero: none
-    std::optional<std::uint64_t> resumeAfter; ///< the last event that the caller has of an earlier attempt
+    std::uint32_t expectedAnswerTokens = 0; ///< the caller's estimate; zero if unknown
+    std::optional<std::uint64_t> resumeAfter; ///< id of the last event that the caller has from an earlier call
 };
 
 } // namespace crocusmount::relay
--- a/src/relay/RelayReducer.cpp
+++ b/src/relay/RelayReducer.cpp
@@ -11,11 +11,11 @@
     /// Status of a server that is not the one expected, or does not hold the layers that it was asked for.
     constexpr unsigned Misdirected = 421;
     /// A retry that waits for room gives up after this; by then the caller's own limit is near.
-    constexpr Duration RetryWait = std::chrono::milliseconds(800);
+    constexpr Duration MaxRetryWait = std::chrono::milliseconds(800);
     /// Calls that wait for the first configuration; an instance that starts late takes no more.
-    constexpr std::size_t MostUnrouted = 256;
+    constexpr std::size_t MaxEarlyCalls = 256;
     /// Weight of one gap in a stream's usual one.
-    constexpr double GapWeight = 0.2;
+    constexpr double EventGapWeight = 0.2;
 
     Reason reasonOf(AttemptResult result)
     {
@@ -88,7 +88,7 @@
     m_routes = accepted.routes;
     ++m_counters.configurationsAccepted;
     for (const auto& [id, server] : std::exchange(m_unusable, {}))
-        takeEntry(server, context);
+        registerServer(server, context);
     dispatchAll(context);
 }
 
@@ -110,8 +110,8 @@
 
 void RelayReducer::on(const event::DrainRequested&, Context& context)
 {
-    if (!m_drainedAt)
-        m_drainedAt = context.now;
+    if (!m_drainRequestedAt)
+        m_drainRequestedAt = context.now;
 }
 
 // ---- A call's life -------------------------------------------------------------------------------------------------
@@ -125,7 +125,7 @@
     // Callers do not retry after UnknownRoute or UnknownKey, so an outdated configuration must not produce them.
     if (!call.route)
         return m_isStoreCopyOutdated ? Reason::NotConfigured : Reason::UnknownRoute;
-    if (m_drainedAt && context.now > *m_drainedAt + m_options.lastCall)
+    if (m_drainRequestedAt && context.now > *m_drainRequestedAt + m_options.lastCall)
         return Reason::Draining;
     call.rank = call.route->rank;
     if (!m_routes->configuration().workspaces.empty() && !call.route->anonymous) {
@@ -145,12 +145,12 @@
 void RelayReducer::on(const event::CallArrived& arrival, Context& context)
 {
     ++m_counters.calls;
-    if (!m_routes && m_unrouted.size() < MostUnrouted) {
+    if (!m_routes && m_earlyCalls.size() < MaxEarlyCalls) {
         const Duration patience = arrival.spec.patience;
         const Duration wait = patience.count() > 0
             ? std::min(m_options.configurationWait, scaled(patience, m_options.configurationWaitShare))
             : m_options.configurationWait;
-        m_unrouted.push_back({ arrival, context.now, context.now + wait });
+        m_earlyCalls.push_back({ arrival, context.now, context.now + wait });
         return;
     }
     admitOrRefuse(arrival, context.now, context);
@@ -165,7 +165,7 @@
     if (const auto refusal = admit(call, context)) {
         ++m_counters.refused.at(static_cast<std::size_t>(*refusal));
         context.effects.emplace_back(
-            effect::Refuse { call.id, *refusal, RunState::NotRun, comeBackAfter(*refusal, context) });
+            effect::Refuse { call.id, *refusal, RunState::NotRun, retryAfterFor(*refusal, context) });
         return;
     }
     const Route& route = *call.route;
@@ -175,11 +175,11 @@
     const std::uint32_t expected
         = call.spec.expectedAnswerTokens ? call.spec.expectedAnswerTokens : call.spec.maxAnswerTokens;
     call.tokens = call.spec.promptTokens + expected;
-    call.lastEvent = call.spec.resumeAfter.value_or(0);
+    call.lastEventId = call.spec.resumeAfter.value_or(0);
     budgetOf(call.service).earn();
     Call& stored = m_calls.emplace(call.id, std::move(call)).first->second;
-    if (awaitsVerdict(stored)) {
-        hold(stored, context);
+    if (awaitsCrashVerdict(stored)) {
+        holdCall(stored, context);
         return;
     }
     FairQueue& waiting = queueOf(stored).waiting();
@@ -195,7 +195,7 @@
 
 void RelayReducer::on(const event::CallerLeft& left, Context& context)
 {
-    std::erase_if(m_unrouted, [&](const Unrouted& waiting) { return waiting.arrival.call == left.call; });
+    std::erase_if(m_earlyCalls, [&](const EarlyCall& waiting) { return waiting.arrival.call == left.call; });
     const auto found = m_calls.find(left.call);
     if (found == m_calls.end())
         return;
@@ -210,7 +210,7 @@
     Call* call = findByAttempt(sent.attempt);
     if (!call)
         return;
-    call->attempt(sent.attempt).sent = true;
+    call->attempt(sent.attempt).wasSent = true;
 }
 
 void RelayReducer::on(const event::AnswerBegun& begun, Context& context)
@@ -219,7 +219,7 @@
     if (!call)
         return;
     Attempt& attempt = call->attempt(begun.attempt);
-    attempt.begunAt = context.now;
+    attempt.answerBegunAt = context.now;
     m_fleet.answerBegun(attempt.server, attempt.chain, context.now);
 }
 
@@ -229,24 +229,24 @@
     if (!call)
         return;
     keepOnly(*call, delivered.attempt, context);
-    if (!call->main.events && !call->main.late && !call->hasMetTrouble()) {
-        const double ratio = std::chrono::duration<double>(context.now - call->main.started)
+    if (!call->main.eventsDelivered && !call->main.isFirstEventLate && !call->hasAvoidedServers()) {
+        const double ratio = std::chrono::duration<double>(context.now - call->main.startedAt)
             / std::chrono::duration<double>(call->route->objective);
         queueOf(*call).limit().answered(ratio, queueOf(*call).running(), context.now);
-    } else if (call->main.events) {
-        call->usualGap += scaled(context.now - call->lastProgress - call->usualGap, GapWeight);
+    } else if (call->main.eventsDelivered) {
+        call->meanEventGap += scaled(context.now - call->lastProgress - call->meanEventGap, EventGapWeight);
     }
-    if (!call->main.events)
+    if (!call->main.eventsDelivered)
         m_fleet.accepted(call->main.chain, context.now);
-    ++call->main.events;
-    call->answering = true;
-    call->lastEvent = delivered.eventId;
+    ++call->main.eventsDelivered;
+    call->hasPartialAnswer = true;
+    call->lastEventId = delivered.eventId;
     call->lastProgress = context.now;
-    call->lastDelivered = context.now;
+    call->lastDeliveredAt = context.now;
     m_fleet.progressed(call->main.chain, context.now);
-    const TimePoint begun = call->main.begunAt.value_or(call->main.started);
-    if (!call->ranSoundly && context.now - begun >= SoundRun)
-        noteSound(*call, context);
+    const TimePoint begun = call->main.answerBegunAt.value_or(call->main.startedAt);
+    if (!call->hasRunSoundly && context.now - begun >= SoundRun)
+        recordSoundRequest(*call, context);
 }
 
 void RelayReducer::on(const event::AttemptEnded& ended, Context& context)
@@ -258,7 +258,7 @@
     if (ended.result == AttemptResult::Completed) {
         keepOnly(call, ended.attempt, context);
         m_fleet.succeeded(call.main.server);
-        noteSound(call, context);
+        recordSoundRequest(call, context);
         release(call, call.main, context);
         ++m_counters.completed;
         remove(call.id);
@@ -267,28 +267,28 @@
     }
     const bool wasSecond = call.second && call.second->id == ended.attempt;
     const Attempt attempt = wasSecond ? *call.second : call.main;
-    noteOutcome(attempt, call, ended, context);
+    recordFailedAttempt(attempt, call, ended, context);
     release(call, attempt, context);
     if (ended.result == AttemptResult::ConnectFailed || ended.result == AttemptResult::NotRun) {
         ++call.rejections;
     } else {
-        call.ranOn.push_back(attempt.server);
-        call.mayHaveRun = call.mayHaveRun || attempt.sent;
+        call.mayHaveRunOn.push_back(attempt.server);
+        call.mayHaveRun = call.mayHaveRun || attempt.wasSent;
     }
     if (call.second) {
         // The other attempt goes on.
         if (!wasSecond)
             call.main = *call.second;
-        endSecond(call, context);
+        endSecondAttempt(call, context);
     } else {
-        call.addAvoided(blamedFor(attempt, ended));
+        call.addAvoided(blamedServer(attempt, ended));
         retryOrFinish(call, reasonOf(ended.result), context);
     }
     dispatchAll(context);
 }
 
 /// @return the stage that the answer names, else the server that was asked
-BackendId RelayReducer::blamedFor(const Attempt& attempt, const event::AttemptEnded& ended)
+BackendId RelayReducer::blamedServer(const Attempt& attempt, const event::AttemptEnded& ended)
 {
     const FleetServer* named = ended.culprit.empty() ? nullptr : m_fleet.findByAddress(ended.culprit);
     return named ? named->entry.id : attempt.server;
@@ -301,10 +301,10 @@
     return !server || server->beingChecked || server->isDead(now);
 }
 
-void RelayReducer::noteOutcome(
+void RelayReducer::recordFailedAttempt(
     const Attempt& attempt, const Call& call, const event::AttemptEnded& ended, Context& context)
 {
-    const BackendId blamed = blamedFor(attempt, ended);
+    const BackendId blamed = blamedServer(attempt, ended);
     switch (ended.result) {
     case AttemptResult::NotRun:
         checkNamedEngine(attempt, ended, context);
@@ -321,7 +321,7 @@
     case AttemptResult::Broken:
         m_fleet.failed(blamed, context.now);
         if (ended.result == AttemptResult::Broken)
-            noteLost(call, attempt, context);
+            recordLostAttempt(call, attempt, context);
         // One whose process has ended refuses the check too, and all are told.
         if (FleetServer* server = m_fleet.find(blamed); server && ended.result == AttemptResult::ConnectFailed)
             checkUrgently(*server, context);
@@ -334,10 +334,10 @@
 
 /// @return attempts that the route's limit counts. An answer under way may go on at another server for each that has
 /// left since.
-std::uint32_t RelayReducer::attemptsOf(const Call& call) const
+std::uint32_t RelayReducer::countedAttempts(const Call& call) const
 {
-    const auto counts = [&](const BackendId& id) { return !call.answering || !m_fleet.hasLeft(id); };
-    return static_cast<std::uint32_t>(std::count_if(call.ranOn.begin(), call.ranOn.end(), counts));
+    const auto counts = [&](const BackendId& id) { return !call.hasPartialAnswer || !m_fleet.hasLeft(id); };
+    return static_cast<std::uint32_t>(std::count_if(call.mayHaveRunOn.begin(), call.mayHaveRunOn.end(), counts));
 }
 
 /// @return what forbids another attempt at the call, whatever the budget; nothing: it may be tried again
@@ -345,10 +345,10 @@
 {
     if (call.mayHaveRun && !isRepeatable(call.route->kind))
         return RetryLimit::NotRepeatable;
-    if (attemptsOf(call) >= call.route->maxAttempts)
+    if (countedAttempts(call) >= call.route->maxAttempts)
         return RetryLimit::Attempts;
     // An answer that ends midway is worth more tries: the budget and the caller's patience bound them.
-    if (!call.answering && call.rejections >= m_options.mostRejections)
+    if (!call.hasPartialAnswer && call.rejections >= m_options.mostRejections)
         return RetryLimit::Rejections;
     if (context.now >= call.deadline)
         return RetryLimit::Deadline;
@@ -363,21 +363,21 @@
     }
     std::optional<RetryLimit> limit = retryLimit(call, context);
     // A server that ran it may leave while the caller waits.
-    if (call.answering && (!limit || *limit == RetryLimit::Attempts)) {
+    if (call.hasPartialAnswer && (!limit || *limit == RetryLimit::Attempts)) {
         interrupt(call, reason, context);
         return;
     }
-    if (!limit && (isRetryTaken(call.service) || !budgetOf(call.service).spend()))
+    if (!limit && (isRetryReserved(call.service) || !budgetOf(call.service).spend()))
         limit = RetryLimit::Budget;
     if (!limit) {
         ++m_counters.retried.at(static_cast<std::size_t>(reason));
-        if (awaitsVerdict(call))
-            hold(call, context);
+        if (awaitsCrashVerdict(call))
+            holdCall(call, context);
         else
-            enqueueAgain(call, context);
+            requeue(call, context);
         return;
     }
-    if (reason == Reason::ServerFailure && !call.answering) {
+    if (reason == Reason::ServerFailure && !call.hasPartialAnswer) {
         ++m_counters.retriesDenied.at(static_cast<std::size_t>(*limit));
         context.effects.emplace_back(effect::DeliverServerFailure { call.id });
         remove(call.id);
@@ -387,9 +387,9 @@
 }
 
 /// Has a call that was running wait for another server, before those that came after it.
-void RelayReducer::enqueueAgain(Call& call, Context& context)
+void RelayReducer::requeue(Call& call, Context& context)
 {
-    call.waitUntil = std::min(call.deadline, context.now + RetryWait);
+    call.waitUntil = std::min(call.deadline, context.now + MaxRetryWait);
     call.state = CallState::Waiting;
     if (!place(call, context))
         queueOf(call).waiting().pushFront(call.workspace, 1, -call.rank, call.id);
@@ -400,13 +400,13 @@
     ++m_counters.refused.at(static_cast<std::size_t>(reason));
     if (limit)
         ++m_counters.retriesDenied.at(static_cast<std::size_t>(*limit));
-    if (call.answering) {
+    if (call.hasPartialAnswer) {
         context.effects.emplace_back(effect::BreakAnswer { call.id, reason, limit });
     } else {
         const RunState run = call.mayHaveRun ? RunState::MayHaveRun : RunState::NotRun;
-        const Duration comeBack = reason == Reason::NoCapacity ? comeBackAfterShortage(queueOf(call), context)
-                                                               : comeBackAfter(reason, context);
-        context.effects.emplace_back(effect::Refuse { call.id, reason, run, comeBack, limit });
+        const Duration retryAfter = reason == Reason::NoCapacity ? retryAfterShortage(queueOf(call), context)
+                                                                 : retryAfterFor(reason, context);
+        context.effects.emplace_back(effect::Refuse { call.id, reason, run, retryAfter, limit });
     }
     remove(call.id);
 }
@@ -415,9 +415,9 @@
 {
     context.effects.emplace_back(effect::CancelAttempt { attempt.id, cause });
     if (mayBeDead(attempt.server, context.now))
-        noteLost(call, attempt, context);
-    call.mayHaveRun = call.mayHaveRun || attempt.sent;
-    call.ranOn.push_back(attempt.server);
+        recordLostAttempt(call, attempt, context);
+    call.mayHaveRun = call.mayHaveRun || attempt.wasSent;
+    call.mayHaveRunOn.push_back(attempt.server);
     release(call, attempt, context);
 }
 
@@ -429,7 +429,7 @@
     const CancelCause cause = kept == AttemptId() ? CancelCause::CallEnded : CancelCause::Superseded;
     if (call.second && call.second->id != kept) {
         cancel(call, *call.second, cause, context);
-        endSecond(call, context);
+        endSecondAttempt(call, context);
     }
     if (call.main.id == kept)
         return;
@@ -451,8 +451,8 @@
         return;
     }
     m_fleet.unbook(attempt.chain, call.tokens);
-    if (!attempt.reroute.hops().empty())
-        m_fleet.unbook(attempt.reroute, call.tokens);
+    if (!attempt.pendingReroute.hops().empty())
+        m_fleet.unbook(attempt.pendingReroute, call.tokens);
 }
 
 void RelayReducer::remove(RequestId id)
--- a/src/relay/RelayReducer.h
+++ b/src/relay/RelayReducer.h
@@ -21,33 +21,48 @@
 
 namespace crocusmount::relay {
 
-/// The decisions of the relay, a function from events to effects over its own state: which calls are admitted, how
-/// long they wait, where they run, what is tried again and what the final answer is. It reads no clock, opens no
-/// socket and draws no random number.
+/// Decides for each call whether it is admitted, how long it waits, on which backend servers it runs, whether it is
+/// retried, and which final answer it gets.
+///
+/// The reducer is a deterministic state machine: reduce() takes an event, updates the state and appends the effects
+/// that the caller has to carry out. It reads no clock, opens no socket and draws no random number. Time and entropy
+/// come with each event.
+///
+/// Private functions are documented where they are defined:
+/// - RelayReducer.cpp: admission, delivery, the end of attempts, retries and final answers
+/// - RelayReducerPlacing.cpp: queues, placement, Retry-After times, the retry budget
+/// - RelayReducerTime.cpp: ticks, deadlines, stalls, reroutes and second attempts
+/// - RelayReducerChecks.cpp: health checks of engines
+/// - RelayReducerServers.cpp: servers that register, restart or end
+/// - RelayReducerMoves.cpp: answers that move off leaving servers or resume after a lost one
+/// - RelayReducerCrashes.cpp: requests that crash servers, and their quarantine
 class RelayReducer {
 public:
     explicit RelayReducer(RelayOptions);
     RelayReducer(const RelayReducer&) = delete;
     RelayReducer& operator=(const RelayReducer&) = delete;
 
-    /// Takes one event in.
-    /// @param event    what happened
-    /// @param effects  what is to be done is appended, in order
+    /// Processes one event.
+    /// @param event    what happened, with its time and entropy
+    /// @param effects  effects are appended in the order in which they must be carried out
     void reduce(const RelayEvent& event, RelayEffects& effects);
 
     const RelayCounters& counters() const { return m_counters; }
     const ServerFleet& fleet() const { return m_fleet; }
-    /// @return the configuration in force, or null before the first
+    /// @return the routes of the current configuration, or null before the first configuration
     const std::shared_ptr<const RouteTable>& routes() const { return m_routes; }
     const RequestQuarantine& quarantine() const { return m_quarantine; }
     const RelayOptions& options() const { return m_options; }
-    std::size_t openCalls() const { return m_calls.size() + m_unrouted.size(); }
+    /// @return calls without a final answer, including those that arrived before the first configuration
+    std::size_t openCalls() const { return m_calls.size() + m_earlyCalls.size(); }
+    /// @return calls in the queues of all services
     std::size_t waitingCalls() const;
-    bool isDraining() const { return m_drainedAt.has_value(); }
+    bool isDraining() const { return m_drainRequestedAt.has_value(); }
 
 private:
+    /// The event under way, as far as all handlers need it.
     struct Context {
-        TimePoint now;
+        TimePoint now; ///< time of the event
         std::uint64_t entropy = 0;
         RelayEffects& effects;
     };
@@ -78,14 +93,15 @@
     void on(const event::DrainRequested&, Context&);
     void on(const event::Tick&, Context&);
 
-    struct Unrouted {
+    /// A call that arrived before the first configuration.
+    struct EarlyCall {
         event::CallArrived arrival;
         TimePoint arrived;
-        TimePoint until;
+        TimePoint until; ///< refused at this time if there is still no configuration
     };
 
     void admitOrRefuse(const event::CallArrived&, TimePoint arrived, Context&);
-    void admitUnrouted(Context&);
+    void admitEarlyCalls(Context&);
     std::optional<Reason> admit(Call&, const Context&) const;
     void dispatchAll(Context&);
     void dispatch(FairQueue&, Context&);
@@ -94,92 +110,92 @@
     void cancel(Call&, const Attempt&, CancelCause, Context&);
     void release(Call&, const Attempt&, Context&);
     void keepOnly(Call&, AttemptId, Context&);
-    BackendId blamedFor(const Attempt&, const event::AttemptEnded&);
+    BackendId blamedServer(const Attempt&, const event::AttemptEnded&);
     bool mayBeDead(const BackendId&, TimePoint now);
-    void noteOutcome(const Attempt&, const Call&, const event::AttemptEnded&, Context&);
+    void recordFailedAttempt(const Attempt&, const Call&, const event::AttemptEnded&, Context&);
     void retryOrFinish(Call&, Reason, Context&);
-    std::uint32_t attemptsOf(const Call&) const;
+    std::uint32_t countedAttempts(const Call&) const;
     std::optional<RetryLimit> retryLimit(const Call&, const Context&) const;
     void finishUnanswered(Call&, Reason, Context&, std::optional<RetryLimit> = std::nullopt);
     void refuseOverdue(Context&);
-    std::optional<RetryLimit> limitOfWait(const Call&, const Context&);
-    void noteLateness(Call&, Context&);
+    std::optional<RetryLimit> waitLimit(const Call&, const Context&);
+    void recordLateFirstEvent(Call&, Context&);
     void checkRunning(Call&, Context&);
-    void leaveStages(Call&, const std::vector<BackendId>&, Context&);
+    void abandonStages(Call&, const std::vector<BackendId>&, Context&);
     void askStalledStage(Call&, Context&);
-    void suspectSilentStages(Call&, Context&);
+    void checkSilentStages(Call&, Context&);
     void checkEngine(FleetServer&, Context&);
     void checkUrgently(FleetServer&, Context&);
-    bool mayAsk(const FleetServer&) const;
-    void ask(FleetServer&, Context&);
-    void recheckSickEngines(Context&);
+    bool mayCheck(const FleetServer&) const;
+    void sendCheck(FleetServer&, Context&);
+    void recheckDeadAndSlowEngines(Context&);
     void checkAvoidedEngines(Context&);
     void checkClosedEngines(Context&);
-    void noteClosed(const event::EngineChecked&, Context&);
-    void leaveDeadEngine(const BackendId&, Context&);
-    void takeEntry(const RegisteredServer&, Context&);
+    void recordClosed(const event::EngineChecked&, Context&);
+    void abandonDeadEngine(const BackendId&, Context&);
+    void registerServer(const RegisteredServer&, Context&);
     bool isUsable(const RegisteredServer&) const;
-    void setAside(const RegisteredServer&, Context&);
-    bool takeStart(const BackendId&, StartTime, const LayerRange&, Context&);
-    void leaveEndedStart(const BackendId&, Context&);
+    void keepUnusableEntry(const RegisteredServer&, Context&);
+    bool applyReportedStart(const BackendId&, StartTime, const LayerRange&, Context&);
+    void abandonEndedServer(const BackendId&, Context&);
     bool isGone(const BackendId&) const;
     bool hasLostServer(const Attempt&) const;
-    bool finishesCalls(const BackendId&) const;
+    bool mayFinishCalls(const BackendId&) const;
     bool hasEndedStage(const Chain&) const;
-    void loseStage(Call&, const BackendId& lost, Context&);
-    void leaveLostStages(Context&);
-    void loseAttempt(Call&, Context&);
-    void drop(Call&, const Attempt&, Context&);
+    void handleLostStage(Call&, const BackendId& lost, Context&);
+    void retryLostStages(Context&);
+    void replaceOrEndAttempt(Call&, Context&);
+    void cancelLostAttempt(Call&, const Attempt&, Context&);
     bool hasSilentStreamThrough(const BackendId&, TimePoint now) const;
     void checkNamedEngine(const Attempt&, const event::AttemptEnded&, Context&);
-    bool startSecond(Call&, AttemptPurpose, Context&);
-    void endSecond(Call&, Context&);
-    /// What became of an attempt to move a running stream.
-    enum class Moving {
-        Ordered,
-        Pending, ///< an order is under way, or stages that it would go to are being checked
-        Impossible,
+    bool startSecondAttempt(Call&, AttemptPurpose, Context&);
+    void endSecondAttempt(Call&, Context&);
+    /// Result of trying to reroute a running call.
+    enum class MoveResult {
+        Ordered, ///< the first stage was told to continue on another chain
+        Pending, ///< an earlier reroute is unanswered, or a stage of the new chain is being checked
+        Impossible, ///< no chain was found, or the attempt may not be rerouted
     };
-    Moving reroute(Call&, const std::vector<BackendId>& away, Context&);
+    MoveResult reroute(Call&, const std::vector<BackendId>& excluded, Context&);
     bool awaitsCheck(const Chain&, Context&);
-    void suspectOfDyingAlong(FleetServer&, Context&);
-    void checkSilentEngines(bool isCertain, Context&);
+    void checkForGroupFailure(FleetServer&, Context&);
+    void checkEnginesAfterFailure(bool isCertain, Context&);
     void moveOffLeaving(Context&);
     bool mustLeave(const Hop&) const;
     bool isLeaving(const BackendId&) const;
     std::vector<BackendId> stagesToLeave(const Call&, TimePoint now) const;
-    void moveOff(Call&, const std::vector<BackendId>& away, Context&);
+    void moveOff(Call&, const std::vector<BackendId>& excluded, Context&);
     void holdAnswer(Call&, Context&);
     void continueAnswer(Call&, Context&);
     void releaseOverdueAnswer(Call&, Context&);
     void interrupt(Call&, Reason, Context&);
     bool resume(Call&, Context&);
     void resumeInterrupted(Context&);
-    bool isRetryTaken(const ServiceId&) const;
+    bool isRetryReserved(const ServiceId&) const;
     bool countsCrashes() const;
     CrashSign crashSign(const Call&, const Attempt&) const;
-    void noteLost(const Call&, const Attempt&, Context&);
-    void askUnsettledServers(Context&);
+    void recordLostAttempt(const Call&, const Attempt&, Context&);
+    void checkUnsettledServers(Context&);
     void probe(FleetServer&, Context&);
-    void noteServerEnded(const FleetServer&, Context&);
+    void recordServerEnded(const FleetServer&, Context&);
     void settleCrashes(Context&);
     void countCrash(const CrashReport&, bool isOwn, Context&);
     void quarantine(const RequestIdentity&, bool isOwn, Context&);
-    bool lift(const RequestIdentity&, bool isOwn, Context&);
-    void noteSound(Call&, Context&);
-    bool awaitsVerdict(const Call&) const;
-    void hold(Call&, Context&);
-    void releaseHeld(Context&);
-    void enqueueAgain(Call&, Context&);
+    bool clearRequest(const RequestIdentity&, bool isOwn, Context&);
+    void recordSoundRequest(Call&, Context&);
+    bool awaitsCrashVerdict(const Call&) const;
+    void holdCall(Call&, Context&);
+    void releaseHeldCalls(Context&);
+    void requeue(Call&, Context&);
     bool isStalled(const Call&, TimePoint now) const;
     std::vector<BackendId> stalledStages(const Call&) const;
-    Duration comeBackAfter(Reason, const Context&) const;
-    Duration comeBackAfterShortage(ServiceQueue&, const Context&) const;
+    Duration retryAfterFor(Reason, const Context&) const;
+    Duration retryAfterShortage(ServiceQueue&, const Context&) const;
     void remove(RequestId);
     Call* findByAttempt(AttemptId);
     ServiceQueue& queueOf(const Call& call) { return m_services[call.service]; }
     double retryBurst() const;
-    double ripeShare() const;
+    double retryBurstShare() const;
     RetryBudget& budgetOf(const ServiceId&);
     bool isKnownFull(const Call&, const Chain&, TimePoint now) const;
 
@@ -187,15 +203,15 @@
     RelayCounters m_counters;
     ServerFleet m_fleet;
     CallPlacer m_placer;
-    std::shared_ptr<const RouteTable> m_routes;
+    std::shared_ptr<const RouteTable> m_routes; ///< null before the first configuration
     bool m_isStoreCopyOutdated = false; ///< other instances may use a later configuration
-    std::deque<Unrouted> m_unrouted; ///< calls that came before the first configuration, oldest first
-    std::map<RequestId, Call> m_calls;
-    absl::flat_hash_map<AttemptId, RequestId> m_attempts;
-    std::set<RequestId> m_interrupted; ///< calls whose answer waits for another server
+    std::deque<EarlyCall> m_earlyCalls; ///< calls that arrived before the first configuration, oldest first
+    std::map<RequestId, Call> m_calls; ///< admitted calls without a final answer
+    absl::flat_hash_map<AttemptId, RequestId> m_attempts; ///< the call of each running attempt
+    std::set<RequestId> m_interrupted; ///< calls with a partial answer that wait for a server to resume at
     std::map<ServiceId, ServiceQueue> m_services;
     std::map<ServiceId, RetryBudget> m_budgets;
-    std::map<BackendId, TimePoint> m_moveOffAt; ///< servers that leave, with the time from which streams are moved
+    std::map<BackendId, TimePoint> m_moveOffAt; ///< leaving servers, with the time from which streams are moved off
     std::map<BackendId, RegisteredServer> m_unusable; ///< entries that fit no service of the configuration
     CrashEvidence m_crashEvidence;
     RequestQuarantine m_quarantine;
@@ -203,9 +219,9 @@
     EngineCheckBudget m_checkBudget;
     std::uint64_t m_nextAttempt = 1;
     std::optional<TimePoint> m_startedAt; ///< time of the first event
-    std::optional<TimePoint> m_groupDiedAt; ///< when an engine was last found dead for certain
+    std::optional<TimePoint> m_lastCertainFailureAt; ///< when a check last showed that an engine's process has ended
     TimePoint m_now; ///< time of the event under way
-    std::optional<TimePoint> m_drainedAt;
+    std::optional<TimePoint> m_drainRequestedAt;
 };
 
 } // namespace crocusmount::relay
--- a/src/relay/RelayReducerChecks.cpp
+++ b/src/relay/RelayReducerChecks.cpp
@@ -2,7 +2,7 @@
 //
 // The load pattern that this answers: an engine falls silent while dozens of streams pass through it. Each of them
 // waits for its own stall to be long enough, and new ones keep coming; the pause that callers accept is over by then. A
-// check of the few stages that a silent stream depends on tells a dead one from a busy one within milliseconds.
+// check of the few stages that a silent stream depends on sharesDeath a dead one from a busy one within milliseconds.
 
 #include "relay/RelayReducer.h"
 #include "relay/ScaledDuration.h"
@@ -14,46 +14,47 @@
 namespace {
 
     /// A stream is silent after this multiple of its usual gap; few sound streams have a gap of twice the usual one.
-    constexpr double SilentGaps = 2.5;
+    constexpr double SilentGapFactor = 2.5;
     /// Shortest silence. The reducer looks each 20 ms.
-    constexpr Duration LeastSilence = std::chrono::milliseconds(60);
+    constexpr Duration MinSilence = std::chrono::milliseconds(60);
     /// Part of the objective for which a first event is waited without a question; prompts are read in some 60 ms.
-    constexpr double FirstEventShare = 0.3;
+    constexpr double FirstEventSilenceShare = 0.3;
     /// Between two checks of one engine by this instance. One that has just answered is hardly dead.
     constexpr Duration CheckInterval = std::chrono::milliseconds(400);
-    constexpr Duration AnsweredInterval = std::chrono::milliseconds(1000);
+    constexpr Duration AnsweredCheckInterval = std::chrono::milliseconds(1000);
     /// Engines that report more than this are checked again, each so often, until they are well.
-    constexpr double SlowFactor = 1.5;
-    constexpr Duration SlowCheckInterval = std::chrono::milliseconds(1000);
+    constexpr double SlownessRecheckThreshold = 1.5;
+    constexpr Duration SlowEngineCheckInterval = std::chrono::milliseconds(1000);
     /// An engine with an event through it this shortly ago is taken to live.
-    constexpr Duration SweepSilence = std::chrono::milliseconds(100);
+    constexpr Duration GroupCheckSilence = std::chrono::milliseconds(100);
     /// How long after the death of one engine others are suspected to have died with it. All that died have been silent
     /// to their own calls by then, and all instances are told of them.
-    constexpr Duration GroupSuspicion = std::chrono::milliseconds(500);
+    constexpr Duration GroupFailureWindow = std::chrono::milliseconds(500);
     /// Between two urgent checks of one engine. Engines answer within a few milliseconds.
-    constexpr Duration UrgentInterval = std::chrono::milliseconds(100);
+    constexpr Duration UrgentCheckInterval = std::chrono::milliseconds(100);
     /// How long a call is held for the answer of a stage to a check: a silent one has missed it by then.
-    constexpr Duration CheckWait = std::chrono::milliseconds(100);
-    /// Reports are some hundred milliseconds old: one asked for this long after a call was turned away tells of then.
-    constexpr Duration ReportAge = std::chrono::milliseconds(300);
+    constexpr Duration MaxCheckWait = std::chrono::milliseconds(100);
+    /// Reports are some hundred milliseconds old: one asked for this long after a call was turned away sharesDeath of
+    /// then.
+    constexpr Duration ReportLag = std::chrono::milliseconds(300);
     /// An engine that turns calls away with less of its memory taken is not short of it, whatever the prompt.
-    constexpr double RoomShare = 0.7;
+    constexpr double MaxMemoryShareWithRoom = 0.7;
     /// A dead engine is checked again this long before it would be used again.
-    constexpr Duration RecheckLead = std::chrono::milliseconds(200);
+    constexpr Duration DeadRecheckLead = std::chrono::milliseconds(200);
 
     bool isSilent(const Call& call, TimePoint now)
     {
-        if (call.main.heldUntil)
+        if (call.main.answerHeldUntil)
             return false;
-        const Duration still = now - call.lastProgress;
-        if (!call.main.events)
-            return still > scaled(call.route->objective, FirstEventShare);
-        return still > std::max(LeastSilence, scaled(call.usualGap, SilentGaps));
+        const Duration sinceProgress = now - call.lastProgress;
+        if (!call.main.eventsDelivered)
+            return sinceProgress > scaled(call.route->objective, FirstEventSilenceShare);
+        return sinceProgress > std::max(MinSilence, scaled(call.meanEventGap, SilentGapFactor));
     }
 
 } // namespace
 
-void RelayReducer::suspectSilentStages(Call& call, Context& context)
+void RelayReducer::checkSilentStages(Call& call, Context& context)
 {
     if (!isStream(call.route->kind) || call.main.chain.hops().empty() || !isSilent(call, context.now))
         return;
@@ -64,7 +65,7 @@
             dead.push_back(hop.backend);
     }
     if (!dead.empty()) {
-        leaveStages(call, dead, context);
+        abandonStages(call, dead, context);
         return;
     }
     for (const BackendId& stage : stalledStages(call)) {
@@ -75,24 +76,24 @@
 
 void RelayReducer::checkEngine(FleetServer& server, Context& context)
 {
-    const Duration interval = server.unansweredChecks ? CheckInterval : AnsweredInterval;
-    if (context.now >= server.lastCheck + interval && mayAsk(server) && m_checkBudget.spend())
-        ask(server, context);
+    const Duration interval = server.unansweredChecks ? CheckInterval : AnsweredCheckInterval;
+    if (context.now >= server.lastCheck + interval && mayCheck(server) && m_checkBudget.spend())
+        sendCheck(server, context);
 }
 
 /// The same where there is a sign that it died: a check that it answered before does not count.
 void RelayReducer::checkUrgently(FleetServer& server, Context& context)
 {
-    if (context.now >= server.lastCheck + UrgentInterval && mayAsk(server) && m_checkBudget.spendUrgent())
-        ask(server, context);
+    if (context.now >= server.lastCheck + UrgentCheckInterval && mayCheck(server) && m_checkBudget.spendUrgent())
+        sendCheck(server, context);
 }
 
-bool RelayReducer::mayAsk(const FleetServer& server) const
+bool RelayReducer::mayCheck(const FleetServer& server) const
 {
     return server.isEngine() && !server.beingChecked && !m_options.without.has(Mechanism::EngineChecks);
 }
 
-void RelayReducer::ask(FleetServer& server, Context& context)
+void RelayReducer::sendCheck(FleetServer& server, Context& context)
 {
     server.beingChecked = true;
     server.lastCheck = context.now;
@@ -100,12 +101,13 @@
     context.effects.emplace_back(effect::CheckEngine { server.entry.id, server.entry.address, server.entry.startedAt });
 }
 
-void RelayReducer::recheckSickEngines(Context& context)
+void RelayReducer::recheckDeadAndSlowEngines(Context& context)
 {
     for (const BackendId& id : m_fleet.checkCandidates(context.now)) {
         FleetServer& server = *m_fleet.find(id);
-        const bool dead = server.isDead(context.now) && context.now + RecheckLead >= server.deadUntil;
-        const bool slow = server.slowness > SlowFactor && context.now >= server.lastCheck + SlowCheckInterval;
+        const bool dead = server.isDead(context.now) && context.now + DeadRecheckLead >= server.deadUntil;
+        const bool slow
+            = server.slowness > SlownessRecheckThreshold && context.now >= server.lastCheck + SlowEngineCheckInterval;
         if (dead || slow)
             checkEngine(server, context);
     }
@@ -134,7 +136,7 @@
     if (!server || checked.asked != server->entry.startedAt)
         return; // It started again meanwhile, or is gone.
     server->beingChecked = false;
-    if (!takeStart(checked.engine, checked.answering, checked.layers, context))
+    if (!applyReportedStart(checked.engine, checked.answering, checked.layers, context))
         return;
     server = m_fleet.find(checked.engine); // A new start stands at another place.
     if (!server)
@@ -142,26 +144,26 @@
     if (checked.answered) {
         m_crashEvidence.noteAlive(server->others.engine);
         m_fleet.answeredCheck(checked.engine, checked.slowness);
-        noteClosed(checked, context);
+        recordClosed(checked, context);
         dispatchAll(context);
         return;
     }
     m_crashEvidence.noteSilent(server->others.engine, context.now, server->lastAliveAt);
     if (checked.refused)
-        noteServerEnded(*server, context);
+        recordServerEnded(*server, context);
     m_fleet.missedCheck(checked.engine, checked.refused, context.now);
     ++m_counters.deadEngines;
     server = m_fleet.find(checked.engine);
-    const bool tells = !m_options.without.has(Mechanism::DeadReports);
-    if (tells && server && server->unansweredChecks == 1)
+    const bool sharesDeath = !m_options.without.has(Mechanism::DeadReports);
+    if (sharesDeath && server && server->unansweredChecks == 1)
         context.effects.emplace_back(effect::ShareFinding { checked.engine, server->entry.startedAt });
     if (server && server->unansweredChecks == 1)
-        checkSilentEngines(checked.refused, context);
+        checkEnginesAfterFailure(checked.refused, context);
     // Streams through a process that is gone hold memory at all other stages until their callers give up on them.
     if (checked.refused)
-        leaveEndedStart(checked.engine, context);
+        abandonEndedServer(checked.engine, context);
     else
-        leaveDeadEngine(checked.engine, context);
+        abandonDeadEngine(checked.engine, context);
     dispatchAll(context);
 }
 
@@ -173,7 +175,7 @@
 {
     for (const BackendId& id : m_fleet.checkCandidates(context.now)) {
         FleetServer& suspect = *m_fleet.find(id);
-        if (!suspect.closedCheckDue || context.now < suspect.turnedAwayAt + ReportAge)
+        if (!suspect.closedCheckDue || context.now < suspect.turnedAwayAt + ReportLag)
             continue;
         suspect.closedCheckDue = false;
         const bool isSettled = suspect.acceptedAt > suspect.turnedAwayAt || suspect.isClosed(context.now);
@@ -184,14 +186,14 @@
 
 /// An engine that turned a call away, has accepted none since and has room takes no new work. All are told, since each
 /// would find out by a call that is turned away.
-void RelayReducer::noteClosed(const event::EngineChecked& checked, Context& context)
+void RelayReducer::recordClosed(const event::EngineChecked& checked, Context& context)
 {
     const FleetServer* server = m_fleet.find(checked.engine);
-    const bool hasRoom = !checked.queued && checked.memoryUsed < RoomShare;
+    const bool hasRoom = !checked.queued && checked.memoryUsed < MaxMemoryShareWithRoom;
     if (!server || !hasRoom || m_options.without.has(Mechanism::ClosedEngines) || server->isClosed(context.now))
         return;
     const Duration since = context.now - server->turnedAwayAt;
-    if (since < ReportAge || since > 2 * ReportAge || server->acceptedAt > server->turnedAwayAt)
+    if (since < ReportLag || since > 2 * ReportLag || server->acceptedAt > server->turnedAwayAt)
         return;
     m_fleet.closed(checked.engine, context.now);
     ++m_counters.closedEngines;
@@ -222,19 +224,19 @@
 ///
 /// @param isCertain  the engine is dead for certain; one that only did not answer may be overloaded, and then it does
 ///                   not keep calls from going elsewhere at once
-void RelayReducer::checkSilentEngines(bool isCertain, Context& context)
+void RelayReducer::checkEnginesAfterFailure(bool isCertain, Context& context)
 {
     if (isCertain)
-        m_groupDiedAt = context.now;
+        m_lastCertainFailureAt = context.now;
     for (const auto& [id, server] : m_fleet.servers()) {
         if (server.ownTokenLayers > 0)
-            suspectOfDyingAlong(*m_fleet.find(id), context);
+            checkForGroupFailure(*m_fleet.find(id), context);
     }
 }
 
-void RelayReducer::suspectOfDyingAlong(FleetServer& server, Context& context)
+void RelayReducer::checkForGroupFailure(FleetServer& server, Context& context)
 {
-    if (server.lastProgress + SweepSilence > context.now || server.isDead(context.now))
+    if (server.lastProgress + GroupCheckSilence > context.now || server.isDead(context.now))
         return;
     server.sweptAt = context.now;
     checkUrgently(server, context);
@@ -243,16 +245,17 @@
 /// @return whether a stage is suspected for the death of another one, and is about to answer whether it lives
 bool RelayReducer::awaitsCheck(const Chain& chain, Context& context)
 {
-    const bool isSuspicious = m_groupDiedAt && context.now < *m_groupDiedAt + GroupSuspicion;
+    const bool isSuspicious = m_lastCertainFailureAt && context.now < *m_lastCertainFailureAt + GroupFailureWindow;
     bool awaits = false;
     for (const Hop& hop : chain.hops()) {
         FleetServer* server = m_fleet.find(hop.backend);
         if (!server)
             continue;
-        const bool hasShownLife = std::max(server->lastCheck, server->listedAt) >= m_groupDiedAt.value_or(context.now);
-        if (isSuspicious && !hasShownLife)
-            suspectOfDyingAlong(*server, context);
-        awaits = awaits || (server->beingChecked && context.now < server->sweptAt + CheckWait);
+        const bool isKnownSinceFailure
+            = std::max(server->lastCheck, server->listedAt) >= m_lastCertainFailureAt.value_or(context.now);
+        if (isSuspicious && !isKnownSinceFailure)
+            checkForGroupFailure(*server, context);
+        awaits = awaits || (server->beingChecked && context.now < server->sweptAt + MaxCheckWait);
     }
     return awaits;
 }
@@ -272,7 +275,7 @@
         m_fleet.reportedDead(id, context.now);
         context.effects.emplace_back(
             effect::NoteBelief { effect::NoteBelief::Belief::ReportedDead, id, server.entry.startedAt });
-        leaveDeadEngine(id, context);
+        abandonDeadEngine(id, context);
     }
 }
 
@@ -285,12 +288,12 @@
     });
 }
 
-void RelayReducer::leaveDeadEngine(const BackendId& engine, Context& context)
+void RelayReducer::abandonDeadEngine(const BackendId& engine, Context& context)
 {
     for (auto& [id, call] : m_calls) {
-        const bool runs = call.state == CallState::Running && !call.second && call.main.reroute.hops().empty();
+        const bool runs = call.state == CallState::Running && !call.second && call.main.pendingReroute.hops().empty();
         if (runs && isRepeatable(call.route->kind) && call.main.chain.contains(engine) && isSilent(call, context.now))
-            leaveStages(call, { engine }, context);
+            abandonStages(call, { engine }, context);
     }
 }
 
--- a/src/relay/RelayReducerCrashes.cpp
+++ b/src/relay/RelayReducerCrashes.cpp
@@ -13,23 +13,23 @@
 namespace {
 
     /// How often it is looked whether a held call may go on.
-    constexpr Duration HoldStep = std::chrono::milliseconds(50);
+    constexpr Duration HoldCheckInterval = std::chrono::milliseconds(50);
     /// Between two probes of a server where the first did not tell whether it lives.
-    constexpr Duration ProbeInterval = std::chrono::milliseconds(400);
+    constexpr Duration ReprobeInterval = std::chrono::milliseconds(400);
     /// A call is held so long at most: by then each end has been told from the loss of a group, or cannot be.
-    constexpr Duration LongestHold = std::chrono::milliseconds(1000);
+    constexpr Duration MaxHold = std::chrono::milliseconds(1000);
 
     /// @return what the end of a server tells of a call that had an attempt there
     CrashSign signOf(const Call& call, const Attempt& attempt)
     {
-        if (!attempt.sent || call.ranSoundly)
+        if (!attempt.wasSent || call.hasRunSoundly)
             return CrashSign::None;
         // A plain service's answer comes whole: nothing shows that it has begun.
         if (!isStream(call.route->kind))
             return CrashSign::JustBegun;
-        if (!attempt.begunAt)
+        if (!attempt.answerBegunAt)
             return CrashSign::Waiting;
-        const bool hasRun = attempt.events && call.lastProgress - *attempt.begunAt >= SoundRun;
+        const bool hasRun = attempt.eventsDelivered && call.lastProgress - *attempt.answerBegunAt >= SoundRun;
         return hasRun ? CrashSign::None : CrashSign::JustBegun;
     }
 
@@ -45,7 +45,7 @@
 }
 
 /// An attempt broke off, or was given up at a server that may be dead.
-void RelayReducer::noteLost(const Call& call, const Attempt& attempt, Context& context)
+void RelayReducer::recordLostAttempt(const Call& call, const Attempt& attempt, Context& context)
 {
     const CrashSign sign = crashSign(call, attempt);
     if (sign == CrashSign::None || !countsCrashes())
@@ -59,12 +59,12 @@
             servers.push_back(server->others.engine);
     }
     m_crashEvidence.noteLost({ call.identity, sign }, std::move(servers), context.now);
-    askUnsettledServers(context);
+    checkUnsettledServers(context);
 }
 
 /// Servers under which attempts broke off are asked whether they live. The answer to an earlier question does not
 /// count.
-void RelayReducer::askUnsettledServers(Context& context)
+void RelayReducer::checkUnsettledServers(Context& context)
 {
     const auto unsettled = m_crashEvidence.unsettledServers();
     if (unsettled.empty())
@@ -105,19 +105,19 @@
     if (probed.finding == Finding::Alive)
         m_crashEvidence.noteAlive(server->others.engine);
     else if (probed.finding == Finding::Ended)
-        noteServerEnded(*server, context);
+        recordServerEnded(*server, context);
     else
-        server->nextProbe = context.now + ProbeInterval;
+        server->nextProbe = context.now + ReprobeInterval;
 }
 
 /// A server's process has ended. One that was leaving has done so by itself.
-void RelayReducer::noteServerEnded(const FleetServer& server, Context& context)
+void RelayReducer::recordServerEnded(const FleetServer& server, Context& context)
 {
     if (server.entry.leaving || !countsCrashes())
         return;
     std::vector<CrashSuspect> running;
     const auto consider = [&](const Call& call, const Attempt& attempt) {
-        const CrashSign sign = attempt.passes(server.entry.id) ? crashSign(call, attempt) : CrashSign::None;
+        const CrashSign sign = attempt.usesServer(server.entry.id) ? crashSign(call, attempt) : CrashSign::None;
         if (sign != CrashSign::None)
             running.push_back({ call.identity, sign });
     };
@@ -135,7 +135,7 @@
 
 void RelayReducer::settleCrashes(Context& context)
 {
-    askUnsettledServers(context);
+    checkUnsettledServers(context);
     CrashEvidence::Findings findings = m_crashEvidence.settle(context.now);
     m_counters.crashesDismissed += findings.dismissed.size();
     for (const CrashReport& report : findings.dismissed)
@@ -145,7 +145,7 @@
     if (!findings.crashes.empty())
         context.effects.emplace_back(effect::ShareCrashes { std::move(findings.crashes) });
     m_quarantine.forgetOld(context.now);
-    releaseHeld(context);
+    releaseHeldCalls(context);
 }
 
 void RelayReducer::countCrash(const CrashReport& report, bool isOwn, Context& context)
@@ -168,7 +168,7 @@
     std::vector<RequestId> open;
     for (const auto& [id, call] : m_calls) {
         // A stream whose caller has a part of it speaks for the request: it may end by itself.
-        if (call.identity == request && !call.answering)
+        if (call.identity == request && !call.hasPartialAnswer)
             open.push_back(id);
     }
     for (const RequestId& id : open) {
@@ -189,7 +189,7 @@
 void RelayReducer::on(const event::SoundRequestsReported& reported, Context& context)
 {
     for (const RequestIdentity& request : reported.requests)
-        lift(request, false, context);
+        clearRequest(request, false, context);
 }
 
 void RelayReducer::on(const event::QuarantineListed& listed, Context& context)
@@ -198,10 +198,13 @@
         quarantine(listed.request, false, context);
 }
 
-void RelayReducer::on(const event::QuarantineLifted& lifted, Context& context) { lift(lifted.request, false, context); }
+void RelayReducer::on(const event::QuarantineLifted& lifted, Context& context)
+{
+    clearRequest(lifted.request, false, context);
+}
 
 /// @return whether anything was held against the request
-bool RelayReducer::lift(const RequestIdentity& request, bool isOwn, Context& context)
+bool RelayReducer::clearRequest(const RequestIdentity& request, bool isOwn, Context& context)
 {
     const bool wasQuarantined = m_quarantine.isQuarantined(request, context.now);
     if (!m_quarantine.clear(request))
@@ -213,19 +216,19 @@
 
 /// A request that runs for longer than one that crashes its server does, or to its end, is sound, whatever ended beside
 /// it.
-void RelayReducer::noteSound(Call& call, Context& context)
+void RelayReducer::recordSoundRequest(Call& call, Context& context)
 {
-    call.ranSoundly = true;
+    call.hasRunSoundly = true;
     m_soundRequests.add(call.identity);
-    if (!m_quarantine.empty() && lift(call.identity, true, context))
+    if (!m_quarantine.empty() && clearRequest(call.identity, true, context))
         context.effects.emplace_back(effect::ShareSoundRequest { call.identity });
 }
 
 /// @return whether the ends of servers that are not judged yet may be enough to quarantine the request: then one more
 ///         server for it could be one too many
-bool RelayReducer::awaitsVerdict(const Call& call) const
+bool RelayReducer::awaitsCrashVerdict(const Call& call) const
 {
-    if (!countsCrashes() || call.ranSoundly)
+    if (!countsCrashes() || call.hasRunSoundly)
         return false;
     const std::size_t open = m_crashEvidence.openCases(call.identity);
     const std::uint32_t each = RequestQuarantine::pointsOf(CrashSign::JustBegun);
@@ -233,30 +236,30 @@
 }
 
 /// Keeps a call out of the queue, where it would hold up those behind it.
-void RelayReducer::hold(Call& call, Context& context)
+void RelayReducer::holdCall(Call& call, Context& context)
 {
     call.state = CallState::Waiting;
-    call.holdEnd = std::min(call.deadline, context.now + LongestHold);
-    call.heldUntil = context.now + HoldStep;
-    call.waitUntil = std::max(call.waitUntil, *call.holdEnd);
+    call.holdDeadline = std::min(call.deadline, context.now + MaxHold);
+    call.nextHoldCheckAt = context.now + HoldCheckInterval;
+    call.waitUntil = std::max(call.waitUntil, *call.holdDeadline);
     ++m_counters.held;
 }
 
-void RelayReducer::releaseHeld(Context& context)
+void RelayReducer::releaseHeldCalls(Context& context)
 {
     std::vector<RequestId> due;
     for (const auto& [id, call] : m_calls) {
-        if (call.heldUntil && context.now >= *call.heldUntil)
+        if (call.nextHoldCheckAt && context.now >= *call.nextHoldCheckAt)
             due.push_back(id);
     }
     for (const RequestId& id : due) {
         Call& call = m_calls.at(id);
-        if (awaitsVerdict(call) && context.now < *call.holdEnd) {
-            call.heldUntil = context.now + HoldStep;
+        if (awaitsCrashVerdict(call) && context.now < *call.holdDeadline) {
+            call.nextHoldCheckAt = context.now + HoldCheckInterval;
             continue;
         }
-        call.heldUntil.reset();
-        enqueueAgain(call, context);
+        call.nextHoldCheckAt.reset();
+        requeue(call, context);
     }
 }
 
--- a/src/relay/RelayReducerMoves.cpp
+++ b/src/relay/RelayReducerMoves.cpp
@@ -16,9 +16,9 @@
     /// Between two tries to move one stream: an engine that had no room would take it only at the cost of others.
     constexpr Duration MoveInterval = std::chrono::seconds(10);
     /// How long an answer is held back for the attempt that is to go on with it. Callers wait two seconds for an event.
-    constexpr Duration LongestAnswerHold = std::chrono::milliseconds(1000);
+    constexpr Duration MaxAnswerHold = std::chrono::milliseconds(1000);
     /// Shortest pause in an answer after which callers leave.
-    constexpr Duration CallerPatience = std::chrono::milliseconds(2000);
+    constexpr Duration CallerEventTimeout = std::chrono::milliseconds(2000);
     /// Between two searches for a server that could go on with an answer.
     constexpr Duration ResumeInterval = std::chrono::milliseconds(20);
 
@@ -60,10 +60,11 @@
     for (auto& [id, call] : m_calls) {
         if (call.state != CallState::Running)
             continue;
-        const std::vector<BackendId> away = stagesToLeave(call, context.now);
-        used.insert(away.begin(), away.end());
-        if (!away.empty() && !call.second && call.main.reroute.hops().empty() && context.now >= call.main.nextMove)
-            moveOff(call, away, context);
+        const std::vector<BackendId> excluded = stagesToLeave(call, context.now);
+        used.insert(excluded.begin(), excluded.end());
+        if (!excluded.empty() && !call.second && call.main.pendingReroute.hops().empty()
+            && context.now >= call.main.nextMoveAt)
+            moveOff(call, excluded, context);
     }
     // An engine that only gives up layers ends its streams first: they are better off there than on a full one.
     std::erase_if(m_moveOffAt, [&](const auto& each) {
@@ -74,14 +75,15 @@
 /// A later stage is replaced. A first stage cannot be: where it only gives up layers the stream goes on at another
 /// chain, and the engine is free for its new ones. A stream whose first stage leaves stays: most end before the server
 /// does, the others are resumed then, and a move would cost each a retry and a pause.
-void RelayReducer::moveOff(Call& call, const std::vector<BackendId>& away, Context& context)
+void RelayReducer::moveOff(Call& call, const std::vector<BackendId>& excluded, Context& context)
 {
-    call.main.nextMove = context.now + MoveInterval;
-    if (reroute(call, away, context) != Moving::Impossible || !isRepeatable(call.route->kind))
+    call.main.nextMoveAt = context.now + MoveInterval;
+    if (reroute(call, excluded, context) != MoveResult::Impossible || !isRepeatable(call.route->kind))
         return;
-    const bool firstGoes = std::find(away.begin(), away.end(), call.main.server) != away.end();
-    const bool anyLeaves = std::any_of(away.begin(), away.end(), [&](const BackendId& id) { return isLeaving(id); });
-    if (firstGoes && !anyLeaves && startSecond(call, AttemptPurpose::Leaving, context))
+    const bool leavesFirstStage = std::find(excluded.begin(), excluded.end(), call.main.server) != excluded.end();
+    const bool anyLeaves
+        = std::any_of(excluded.begin(), excluded.end(), [&](const BackendId& id) { return isLeaving(id); });
+    if (leavesFirstStage && !anyLeaves && startSecondAttempt(call, AttemptPurpose::Leaving, context))
         holdAnswer(call, context);
 }
 
@@ -89,24 +91,24 @@
 /// use, so that it could never win against a server that still sends.
 void RelayReducer::holdAnswer(Call& call, Context& context)
 {
-    if (!call.answering)
+    if (!call.hasPartialAnswer)
         return;
-    call.main.heldUntil = context.now + LongestAnswerHold;
+    call.main.answerHeldUntil = context.now + MaxAnswerHold;
     context.effects.emplace_back(effect::HoldAnswer { call.main.id });
 }
 
 void RelayReducer::continueAnswer(Call& call, Context& context)
 {
-    if (!call.main.heldUntil)
+    if (!call.main.answerHeldUntil)
         return;
-    call.main.heldUntil.reset();
+    call.main.answerHeldUntil.reset();
     call.lastProgress = context.now;
     context.effects.emplace_back(effect::ContinueAnswer { call.main.id });
 }
 
 void RelayReducer::releaseOverdueAnswer(Call& call, Context& context)
 {
-    if (call.main.heldUntil && context.now >= *call.main.heldUntil)
+    if (call.main.answerHeldUntil && context.now >= *call.main.answerHeldUntil)
         keepOnly(call, call.main.id, context);
 }
 
@@ -115,35 +117,35 @@
 void RelayReducer::interrupt(Call& call, Reason reason, Context& context)
 {
     call.state = CallState::Waiting;
-    call.interruption = reason;
-    call.waitUntil = std::min(call.deadline, call.lastDelivered + CallerPatience);
-    call.nextResume = context.now;
+    call.interruptionReason = reason;
+    call.waitUntil = std::min(call.deadline, call.lastDeliveredAt + CallerEventTimeout);
+    call.nextResumeAt = context.now;
     if (!resume(call, context))
         m_interrupted.insert(call.id);
 }
 
 bool RelayReducer::resume(Call& call, Context& context)
 {
-    if (context.now < call.nextResume)
+    if (context.now < call.nextResumeAt)
         return false;
-    call.nextResume = context.now + ResumeInterval;
+    call.nextResumeAt = context.now + ResumeInterval;
     RetryBudget& budget = budgetOf(call.service);
-    call.awaitsRetry = !budget.hasOne();
-    if (call.awaitsRetry || awaitsVerdict(call) || retryLimit(call, context) || !place(call, context))
+    call.waitsForRetryBudget = !budget.hasOne();
+    if (call.waitsForRetryBudget || awaitsCrashVerdict(call) || retryLimit(call, context) || !place(call, context))
         return false;
     budget.spend();
-    ++m_counters.retried.at(static_cast<std::size_t>(*call.interruption));
-    call.interruption.reset();
+    ++m_counters.retried.at(static_cast<std::size_t>(*call.interruptionReason));
+    call.interruptionReason.reset();
     return true;
 }
 
 /// A call that is refused can come back; an answer that ends midway is lost with all that was written.
 /// @return whether the next retry of a service is for an answer that waits for one
-bool RelayReducer::isRetryTaken(const ServiceId& service) const
+bool RelayReducer::isRetryReserved(const ServiceId& service) const
 {
     return std::any_of(m_interrupted.begin(), m_interrupted.end(), [&](const RequestId& id) {
         const Call& call = m_calls.at(id);
-        return call.awaitsRetry && call.service == service;
+        return call.waitsForRetryBudget && call.service == service;
     });
 }
 
--- a/src/relay/RelayReducerPlacing.cpp
+++ b/src/relay/RelayReducerPlacing.cpp
@@ -11,14 +11,14 @@
 namespace {
 
     /// Half of the streams in flight end within about so long.
-    constexpr Duration LeastShortage = std::chrono::milliseconds(1300);
+    constexpr Duration MinExpectedShortage = std::chrono::milliseconds(1300);
     /// Callers heed a time to come back up to a third of what they have left, of 20 s on the users' platforms.
-    constexpr Duration LongestShortage = std::chrono::milliseconds(4000);
+    constexpr Duration MaxExpectedShortage = std::chrono::milliseconds(4000);
     /// Parts of the expected rest of a shortage between which callers come back.
-    constexpr double LeastComeBack = 0.5;
-    constexpr double MostComeBack = 1.5;
+    constexpr double MinRetryAfterFactor = 0.5;
+    constexpr double MaxRetryAfterFactor = 1.5;
     /// Longest time for which an answer under way does not go back to a stage that turned it away.
-    constexpr Duration AnswerRetryPause = std::chrono::milliseconds(500);
+    constexpr Duration MaxAnswerRetryPause = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -47,18 +47,18 @@
 {
     // A stream that the caller has a part of goes on in any case.
     const bool limited = !m_options.without.has(Mechanism::StreamLimit);
-    if (limited && isStream(call.route->kind) && !call.answering && !queueOf(call).hasRoom())
+    if (limited && isStream(call.route->kind) && !call.hasPartialAnswer && !queueOf(call).hasRoom())
         return false;
-    const AttemptPurpose purpose = call.hasFailed() ? AttemptPurpose::Retry : AttemptPurpose::First;
+    const AttemptPurpose purpose = call.hasFailedAttempt() ? AttemptPurpose::Retry : AttemptPurpose::First;
     auto attempt = startAttempt(call, purpose, context);
     if (!attempt)
         return false;
-    if (call.answering)
+    if (call.hasPartialAnswer)
         ++m_counters.resumed;
     call.state = CallState::Running;
     call.main = *std::move(attempt);
     call.lastProgress = context.now;
-    call.usualGap = Duration(0);
+    call.meanEventGap = Duration(0);
     return true;
 }
 
@@ -71,7 +71,7 @@
     attempt.id = AttemptId(m_nextAttempt++);
     attempt.server = placement->server;
     attempt.chain = std::move(placement->chain);
-    attempt.started = context.now;
+    attempt.startedAt = context.now;
     m_attempts[attempt.id] = call.id;
     queueOf(call).started();
     if (attempt.chain.hops().empty())
@@ -86,8 +86,8 @@
     start.address = placement->address;
     start.chain = attempt.chain;
     start.remaining = call.deadline - context.now;
-    if (call.answering || call.spec.resumeAfter)
-        start.resumeAfter = call.lastEvent;
+    if (call.hasPartialAnswer || call.spec.resumeAfter)
+        start.resumeAfter = call.lastEventId;
     start.route = call.route->id.value();
     start.workspace = call.workspace.value();
     start.stream = isStream(call.route->kind);
@@ -96,7 +96,7 @@
     return attempt;
 }
 
-Duration RelayReducer::comeBackAfter(Reason reason, const Context& context) const
+Duration RelayReducer::retryAfterFor(Reason reason, const Context& context) const
 {
     const auto between = [&](std::int64_t leastMs, std::int64_t mostMs) {
         const double part = spread(context.entropy, static_cast<std::uint64_t>(reason));
@@ -116,19 +116,19 @@
 /// A shortage that has lasted for some time is expected to last as long again: its causes range from a burst of half a
 /// second to an engine whose layers are loaded elsewhere in five. A caller comes back once or twice only, so one that
 /// comes back too early is not served at all. The spread keeps the return from being a wave.
-Duration RelayReducer::comeBackAfterShortage(ServiceQueue& queue, const Context& context) const
+Duration RelayReducer::retryAfterShortage(ServiceQueue& queue, const Context& context) const
 {
     const Duration shortage = queue.refused(context.now);
     const Duration lasted = m_options.without.has(Mechanism::ComeBackTime) ? Duration(0) : shortage;
-    const Duration expected = std::clamp(lasted, LeastShortage, LongestShortage);
+    const Duration expected = std::clamp(lasted, MinExpectedShortage, MaxExpectedShortage);
     const double part = spread(context.entropy, static_cast<std::uint64_t>(Reason::NoCapacity));
-    return scaled(expected, LeastComeBack + part * (MostComeBack - LeastComeBack));
+    return scaled(expected, MinRetryAfterFactor + part * (MaxRetryAfterFactor - MinRetryAfterFactor));
 }
 
 /// This instance's share of the retries that all may make beyond the ratio.
 double RelayReducer::retryBurst() const { return std::max(2.0, m_options.retrySlack / m_placer.instances()); }
 
-double RelayReducer::ripeShare() const
+double RelayReducer::retryBurstShare() const
 {
     if (m_options.retryRipening.count() <= 0)
         return 1;
@@ -138,7 +138,7 @@
 
 RetryBudget& RelayReducer::budgetOf(const ServiceId& service)
 {
-    return m_budgets.try_emplace(service, m_options.retryRatio, retryBurst(), ripeShare()).first->second;
+    return m_budgets.try_emplace(service, m_options.retryRatio, retryBurst(), retryBurstShare()).first->second;
 }
 
 /// A call that a stage has just turned away goes there again only after that stage's pause: attempts at the one engine
@@ -151,7 +151,8 @@
         if (!refusedIt || server == m_fleet.servers().end())
             return false;
         const TimePoint until = server->second.avoidUntil;
-        return now < (call.answering ? std::min(until, server->second.turnedAwayAt + AnswerRetryPause) : until);
+        return now
+            < (call.hasPartialAnswer ? std::min(until, server->second.turnedAwayAt + MaxAnswerRetryPause) : until);
     });
 }
 
--- a/src/relay/RelayReducerServers.cpp
+++ b/src/relay/RelayReducerServers.cpp
@@ -13,22 +13,22 @@
 
     /// Entries that fit no service and are kept for the next configuration. Another client of the store may write any
     /// number of them.
-    constexpr std::size_t MostUnusable = 1000;
+    constexpr std::size_t MaxUnusableEntries = 1000;
     /// Between two tries to replace a lost stage; each is a search over all engines.
-    constexpr Duration LostStageInterval = std::chrono::milliseconds(200);
+    constexpr Duration LostStageRetryInterval = std::chrono::milliseconds(200);
 
 } // namespace
 
 void RelayReducer::on(const event::ServerRegistered& registered, Context& context)
 {
-    takeEntry(registered.server, context);
+    registerServer(registered.server, context);
 }
 
-void RelayReducer::takeEntry(const RegisteredServer& server, Context& context)
+void RelayReducer::registerServer(const RegisteredServer& server, Context& context)
 {
     using Belief = effect::NoteBelief::Belief;
     if (!isUsable(server)) {
-        setAside(server, context);
+        keepUnusableEntry(server, context);
         return;
     }
     m_unusable.erase(server.id);
@@ -44,8 +44,8 @@
         ++m_counters.startsEnded;
         context.effects.emplace_back(effect::NoteBelief { Belief::StartEnded, ended.entry.id, server.startedAt });
         m_moveOffAt.erase(ended.entry.id);
-        noteServerEnded(ended, context);
-        leaveEndedStart(ended.entry.id, context);
+        recordServerEnded(ended, context);
+        abandonEndedServer(ended.entry.id, context);
     }
     // An engine that gives up layers waits for the streams through them before it takes others.
     if (movesLayers && registration.ended.empty())
@@ -65,14 +65,14 @@
 }
 
 /// Such an entry names no server, also where it replaces one that did; a later configuration may give it a meaning.
-void RelayReducer::setAside(const RegisteredServer& server, Context& context)
+void RelayReducer::keepUnusableEntry(const RegisteredServer& server, Context& context)
 {
     ++m_counters.entriesUnusable;
     context.effects.emplace_back(
         effect::NoteBelief { effect::NoteBelief::Belief::EntryUnusable, server.id, server.startedAt });
     if (m_fleet.find(server.id))
         on(event::ServerUnregistered { server.id }, context);
-    if (m_unusable.size() < MostUnusable)
+    if (m_unusable.size() < MaxUnusableEntries)
         m_unusable[server.id] = server;
 }
 
@@ -81,7 +81,7 @@
     m_unusable.erase(gone.server);
     // One that leaves without a word answers until its entry ends.
     if (const FleetServer* server = m_fleet.find(gone.server); server && server->unansweredChecks)
-        noteServerEnded(*server, context);
+        recordServerEnded(*server, context);
     if (m_fleet.remove(gone.server, context.now))
         context.effects.emplace_back(effect::NoteBelief { effect::NoteBelief::Belief::Reinstated, gone.server, {} });
     // Some servers leave without a word; they too go on serving for a while.
@@ -90,13 +90,14 @@
 
 void RelayReducer::on(const event::EngineStartSeen& seen, Context& context)
 {
-    takeStart(seen.engine, seen.startedAt, {}, context);
+    applyReportedStart(seen.engine, seen.startedAt, {}, context);
 }
 
 /// Takes in that an engine named its start. One that is later than its entry's holds what it says now, not what the
 /// entry says, and the entry follows.
 /// @return whether that start is the one that is known from now on
-bool RelayReducer::takeStart(const BackendId& id, StartTime startedAt, const LayerRange& layers, Context& context)
+bool RelayReducer::applyReportedStart(
+    const BackendId& id, StartTime startedAt, const LayerRange& layers, Context& context)
 {
     const FleetServer* server = m_fleet.find(id);
     if (!server)
@@ -108,22 +109,22 @@
     RegisteredServer entry = server->entry;
     entry.startedAt = startedAt;
     entry.layers = layers;
-    takeEntry(entry, context);
+    registerServer(entry, context);
     return true;
 }
 
-void RelayReducer::leaveEndedStart(const BackendId& ended, Context& context)
+void RelayReducer::abandonEndedServer(const BackendId& ended, Context& context)
 {
     std::vector<RequestId> lost;
     for (const auto& [id, call] : m_calls) {
         if (call.state != CallState::Running)
             continue;
-        if (call.main.passes(ended) || (call.second && call.second->passes(ended)))
+        if (call.main.usesServer(ended) || (call.second && call.second->usesServer(ended)))
             lost.push_back(id);
     }
     for (const RequestId& id : lost) {
         if (const auto call = m_calls.find(id); call != m_calls.end())
-            loseStage(call->second, ended, context);
+            handleLostStage(call->second, ended, context);
     }
 }
 
@@ -143,75 +144,75 @@
 /// @return whether the start of the server that took the attempt has ended; another one may bear its id
 bool RelayReducer::hasLostServer(const Attempt& attempt) const
 {
-    return attempt.lostServer || (isGone(attempt.server) && !finishesCalls(attempt.server));
+    return attempt.hasServerEnded || (isGone(attempt.server) && !mayFinishCalls(attempt.server));
 }
 
 /// A server that leaves stops listening before the calls that it took have ended: to cut them for that would lose
 /// answers that it goes on sending.
 /// @return whether a server that takes no connection may still run calls
-bool RelayReducer::finishesCalls(const BackendId& id) const
+bool RelayReducer::mayFinishCalls(const BackendId& id) const
 {
     const auto server = m_fleet.servers().find(id);
     return server != m_fleet.servers().end() && server->second.entry.leaving;
 }
 
 /// A running attempt lost a stage: that is replaced, or the call goes on elsewhere, or it ends with a true word.
-void RelayReducer::loseStage(Call& call, const BackendId& lost, Context& context)
+void RelayReducer::handleLostStage(Call& call, const BackendId& lost, Context& context)
 {
-    if (call.second && call.second->passes(lost)) {
-        drop(call, *call.second, context);
-        endSecond(call, context);
+    if (call.second && call.second->usesServer(lost)) {
+        cancelLostAttempt(call, *call.second, context);
+        endSecondAttempt(call, context);
     }
-    if (!call.main.passes(lost) || (call.main.server == lost && finishesCalls(lost)))
+    if (!call.main.usesServer(lost) || (call.main.server == lost && mayFinishCalls(lost)))
         return;
-    call.main.lostStage = true;
-    call.main.lostServer = call.main.lostServer || call.main.server == lost;
+    call.main.hasLostStage = true;
+    call.main.hasServerEnded = call.main.hasServerEnded || call.main.server == lost;
     if (call.second) {
         // An answer that the caller has a part of is kept until the other attempt delivers: it may be turned away yet.
-        if (call.answering && !hasLostServer(call.main))
+        if (call.hasPartialAnswer && !hasLostServer(call.main))
             return;
-        drop(call, call.main, context);
+        cancelLostAttempt(call, call.main, context);
         call.main = *call.second;
         call.second.reset();
         return;
     }
-    const bool isLeaving = !call.main.reroute.hops().empty() && !call.main.reroute.contains(lost);
-    if (!isLeaving && reroute(call, { lost }, context) == Moving::Impossible)
-        loseAttempt(call, context);
+    const bool isAlreadyMoving = !call.main.pendingReroute.hops().empty() && !call.main.pendingReroute.contains(lost);
+    if (!isAlreadyMoving && reroute(call, { lost }, context) == MoveResult::Impossible)
+        replaceOrEndAttempt(call, context);
 }
 
 /// Goes on with attempts whose lost stage could not be replaced at once.
-void RelayReducer::leaveLostStages(Context& context)
+void RelayReducer::retryLostStages(Context& context)
 {
     std::vector<RequestId> waiting;
     for (const auto& [id, call] : m_calls) {
-        const bool isLost = call.state == CallState::Running && call.main.lostStage && !call.second;
-        if (isLost && call.main.reroute.hops().empty() && context.now >= call.main.nextTry)
+        const bool isLost = call.state == CallState::Running && call.main.hasLostStage && !call.second;
+        if (isLost && call.main.pendingReroute.hops().empty() && context.now >= call.main.nextReplacementAt)
             waiting.push_back(id);
     }
     for (const RequestId& id : waiting) {
         const auto call = m_calls.find(id);
-        if (call != m_calls.end() && reroute(call->second, {}, context) == Moving::Impossible)
-            loseAttempt(call->second, context);
+        if (call != m_calls.end() && reroute(call->second, {}, context) == MoveResult::Impossible)
+            replaceOrEndAttempt(call->second, context);
     }
 }
 
 /// An answer that the caller has a part of is given up only for an attempt that begins now: without one its server ends
 /// it, or its caller. Cut here it would break the promise that planned work loses nothing.
-void RelayReducer::loseAttempt(Call& call, Context& context)
+void RelayReducer::replaceOrEndAttempt(Call& call, Context& context)
 {
-    if (!call.answering) {
-        drop(call, call.main, context);
+    if (!call.hasPartialAnswer) {
+        cancelLostAttempt(call, call.main, context);
         retryOrFinish(call, Reason::ConnectionLost, context);
         return;
     }
-    call.main.nextTry = context.now + LostStageInterval;
+    call.main.nextReplacementAt = context.now + LostStageRetryInterval;
     const std::uint32_t counted = hasLostServer(call.main) ? 0 : 1;
     // The caller's part of the answer shows that this attempt has run, though it has not ended.
     if (!isRepeatable(call.route->kind))
         return;
-    if (awaitsVerdict(call) || attemptsOf(call) + counted >= call.route->maxAttempts || retryLimit(call, context)
-        || !budgetOf(call.service).hasOne())
+    if (awaitsCrashVerdict(call) || countedAttempts(call) + counted >= call.route->maxAttempts
+        || retryLimit(call, context) || !budgetOf(call.service).hasOne())
         return;
     auto next = startAttempt(call, AttemptPurpose::LostStage, context);
     if (!next)
@@ -225,20 +226,20 @@
         return;
     }
     ++m_counters.resumed;
-    drop(call, call.main, context);
+    cancelLostAttempt(call, call.main, context);
     call.main = *std::move(next);
     call.lastProgress = context.now;
-    call.usualGap = Duration(0);
+    call.meanEventGap = Duration(0);
 }
 
 /// Cancels an attempt that has lost a stage. The route's limit leaves it out only where the server that took the call
 /// is the one that ended: the others can still run it.
-void RelayReducer::drop(Call& call, const Attempt& attempt, Context& context)
+void RelayReducer::cancelLostAttempt(Call& call, const Attempt& attempt, Context& context)
 {
     context.effects.emplace_back(effect::CancelAttempt { attempt.id, CancelCause::LostStage });
-    call.mayHaveRun = call.mayHaveRun || attempt.sent;
+    call.mayHaveRun = call.mayHaveRun || attempt.wasSent;
     if (!hasLostServer(attempt))
-        call.ranOn.push_back(attempt.server);
+        call.mayHaveRunOn.push_back(attempt.server);
     release(call, attempt, context);
 }
 
--- a/src/relay/ServiceQueue.cpp
+++ b/src/relay/ServiceQueue.cpp
@@ -7,29 +7,29 @@
 namespace {
 
     /// Weight of one end in the rate of ends.
-    constexpr double EndWeight = 0.05;
+    constexpr double EndRateWeight = 0.05;
     /// Bounds what two ends at the same moment count.
-    constexpr double MostEndsPerSecond = 200;
-    constexpr double LeastSeconds = 1e-3;
+    constexpr double MaxEndsPerSecond = 200;
+    constexpr double MinSecondsBetweenEnds = 1e-3;
     /// Without a refusal for this long a shortage is over; streams last some three seconds.
-    constexpr Duration ShortagePause = std::chrono::seconds(2);
+    constexpr Duration ShortageEndGap = std::chrono::seconds(2);
 
 } // namespace
 
 void ServiceQueue::ended(TimePoint now)
 {
     m_running = std::max(0.0, m_running - 1);
-    const double seconds = std::max(LeastSeconds, std::chrono::duration<double>(now - m_lastEnd).count());
+    const double seconds = std::max(MinSecondsBetweenEnds, std::chrono::duration<double>(now - m_lastEnd).count());
     m_lastEnd = now;
-    m_endsPerSecond += EndWeight * (std::min(1 / seconds, MostEndsPerSecond) - m_endsPerSecond);
+    m_endsPerSecond += EndRateWeight * (std::min(1 / seconds, MaxEndsPerSecond) - m_endsPerSecond);
 }
 
 Duration ServiceQueue::refused(TimePoint now)
 {
-    if (now > m_lastRefusal + ShortagePause)
-        m_shortSince = now;
+    if (now > m_lastRefusal + ShortageEndGap)
+        m_shortageSince = now;
     m_lastRefusal = now;
-    return now - m_shortSince;
+    return now - m_shortageSince;
 }
 
 Duration ServiceQueue::expectedWait() const
--- a/src/relay/ServiceQueue.h
+++ b/src/relay/ServiceQueue.h
@@ -31,7 +31,7 @@
     double m_running = 0;
     double m_endsPerSecond = 0; ///< moving average; zero before the first end
     TimePoint m_lastEnd;
-    TimePoint m_shortSince; ///< first refusal of the present or last shortage
+    TimePoint m_shortageSince; ///< first refusal of the present or last shortage
     TimePoint m_lastRefusal;
 };
 
