--- a/src/relay/AttemptPurpose.h
+++ b/src/relay/AttemptPurpose.h
@@ -2,13 +2,13 @@
 
 namespace crocusmount::relay {
 
-/// Why an attempt at a call begins.
+/// Why an attempt at a call is started.
 enum class AttemptPurpose {
-    First,
-    Retry, ///< the one before failed, or no server had room
-    Stalled, ///< the running one stands still
-    Leaving, ///< the first stage of the running one gives up layers
-    LostStage, ///< the running one lost a stage for good
+    First, ///< the call has had no failed attempt
+    Retry, ///< an earlier attempt failed or was rejected
+    Stalled, ///< the running attempt has stalled
+    Leaving, ///< the first stage of the running attempt gives up layers
+    LostStage, ///< a stage of the running attempt has ended and cannot be replaced
 };
 
 /// @return the snake_case name used in logs
--- a/src/relay/CancelCause.h
+++ b/src/relay/CancelCause.h
@@ -2,11 +2,11 @@
 
 namespace crocusmount::relay {
 
-/// Why an attempt is cancelled that has not ended.
+/// Why a running attempt is cancelled.
 enum class CancelCause {
-    Superseded, ///< another attempt goes on with the call
-    LostStage, ///< it lost a stage for good
-    CallEnded, ///< its call has its final answer, or its caller has left
+    Superseded, ///< another attempt continues the call
+    LostStage, ///< a server of the attempt has ended
+    CallEnded, ///< the call has its final answer, or its caller has left
 };
 
 /// @return the snake_case name used in logs
--- a/src/relay/RelayReducer.cpp
+++ b/src/relay/RelayReducer.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-    /// Status of a server that is not the one expected, or does not hold the layers that it was asked for.
+    /// HTTP status of a server that is not the expected instance, or that does not hold the requested layers.
     constexpr unsigned Misdirected = 421;
-    /// A retry that waits for room gives up after this; by then the caller's own limit is near.
+    /// Longest time that a retry waits for capacity. The caller's own time limit is near by then.
     constexpr Duration MaxRetryWait = std::chrono::milliseconds(800);
-    /// Calls that wait for the first configuration; an instance that starts late takes no more.
+    /// Most calls that wait for the first configuration. Further ones are refused at once.
     constexpr std::size_t MaxEarlyCalls = 256;
-    /// Weight of one gap in a stream's usual one.
+    /// Weight of the latest gap in the moving average of a stream's gaps between events.
     constexpr double EventGapWeight = 0.2;
 
     Reason reasonOf(AttemptResult result)
@@ -79,7 +79,8 @@
     return attempt == m_attempts.end() ? nullptr : &m_calls.at(attempt->second);
 }
 
-// ---- What is known -------------------------------------------------------------------------------------------------
+// ---- Configuration and load
+// -------------------------------------------------------------------------------------------------
 
 void RelayReducer::on(const event::ConfigurationAccepted& accepted, Context& context)
 {
@@ -114,8 +115,11 @@
         m_drainRequestedAt = context.now;
 }
 
-// ---- A call's life -------------------------------------------------------------------------------------------------
+// ---- Calls and attempts
+// -------------------------------------------------------------------------------------------------
 
+/// Resolves route, workspace, rank and service of a call.
+/// @return why the call is refused, or nothing if it is admitted
 std::optional<Reason> RelayReducer::admit(Call& call, const Context& context) const
 {
     if (!m_routes)
@@ -156,6 +160,8 @@
     admitOrRefuse(arrival, context.now, context);
 }
 
+/// Admits a call, then starts it, queues it, holds it for a crash verdict, or refuses it.
+/// @param arrived  the call's deadline counts from this time, which is earlier than the event's for an early call
 void RelayReducer::admitOrRefuse(const event::CallArrived& arrival, TimePoint arrived, Context& context)
 {
     Call call;
@@ -276,7 +282,7 @@
         call.mayHaveRun = call.mayHaveRun || attempt.wasSent;
     }
     if (call.second) {
-        // The other attempt goes on.
+        // The other attempt continues.
         if (!wasSecond)
             call.main = *call.second;
         endSecondAttempt(call, context);
@@ -287,20 +293,23 @@
     dispatchAll(context);
 }
 
-/// @return the stage that the answer names, else the server that was asked
+/// @return the stage that the answer names as the cause of the failure, else the server of the attempt
 BackendId RelayReducer::blamedServer(const Attempt& attempt, const event::AttemptEnded& ended)
 {
     const FleetServer* named = ended.culprit.empty() ? nullptr : m_fleet.findByAddress(ended.culprit);
     return named ? named->entry.id : attempt.server;
 }
 
-/// Room at the other engines does not shrink with the death of one: such rejections say nothing of an overload.
+/// The failure of one engine does not reduce the capacity of the others, so rejections by an engine that may be dead
+/// must not lower the concurrency limit.
+/// @return whether the server is unregistered, dead, or being checked
 bool RelayReducer::mayBeDead(const BackendId& id, TimePoint now)
 {
     const FleetServer* server = m_fleet.find(id);
     return !server || server->beingChecked || server->isDead(now);
 }
 
+/// Updates what is known of a server, and of the service's load, after an attempt that did not complete.
 void RelayReducer::recordFailedAttempt(
     const Attempt& attempt, const Call& call, const event::AttemptEnded& ended, Context& context)
 {
@@ -309,7 +318,7 @@
     case AttemptResult::NotRun:
         checkNamedEngine(attempt, ended, context);
         if (ended.status == Misdirected) {
-            // It does not hold what is registered: no call will do better until its entry changes.
+            // The server does not hold the layers that its entry lists, so all calls fail until the entry changes.
             m_fleet.suspect(blamed, context.now + m_options.suspicion);
             return;
         }
@@ -322,32 +331,33 @@
         m_fleet.failed(blamed, context.now);
         if (ended.result == AttemptResult::Broken)
             recordLostAttempt(call, attempt, context);
-        // One whose process has ended refuses the check too, and all are told.
+        // If the process has ended, the check is refused too, and the result is shared with all instances.
         if (FleetServer* server = m_fleet.find(blamed); server && ended.result == AttemptResult::ConnectFailed)
             checkUrgently(*server, context);
         return;
     default:
-        // Some calls fail by their nature; that tells nothing of the server.
+        // A failure may be due to the call itself, so it does not count against the server.
         return;
     }
 }
 
-/// @return attempts that the route's limit counts. An answer under way may go on at another server for each that has
-/// left since.
+/// Counts the attempts that may have run the call, for the route's limit. Once the caller has a part of the answer,
+/// servers that have left since are not counted, so that planned leaves do not use up the attempts of a long answer.
 std::uint32_t RelayReducer::countedAttempts(const Call& call) const
 {
     const auto counts = [&](const BackendId& id) { return !call.hasPartialAnswer || !m_fleet.hasLeft(id); };
     return static_cast<std::uint32_t>(std::count_if(call.mayHaveRunOn.begin(), call.mayHaveRunOn.end(), counts));
 }
 
-/// @return what forbids another attempt at the call, whatever the budget; nothing: it may be tried again
+/// Applies every limit but the retry budget.
+/// @return the limit that forbids another attempt, or nothing if the call may be retried
 std::optional<RetryLimit> RelayReducer::retryLimit(const Call& call, const Context& context) const
 {
     if (call.mayHaveRun && !isRepeatable(call.route->kind))
         return RetryLimit::NotRepeatable;
     if (countedAttempts(call) >= call.route->maxAttempts)
         return RetryLimit::Attempts;
-    // An answer that ends midway is worth more tries: the budget and the caller's patience bound them.
+    // A partial answer may be rejected more often: the retry budget and the caller's timeout bound its attempts.
     if (!call.hasPartialAnswer && call.rejections >= m_options.mostRejections)
         return RetryLimit::Rejections;
     if (context.now >= call.deadline)
@@ -355,6 +365,8 @@
     return std::nullopt;
 }
 
+/// Retries a call without a running attempt, or gives its final answer.
+/// @param reason  why the last attempt failed
 void RelayReducer::retryOrFinish(Call& call, Reason reason, Context& context)
 {
     if (m_quarantine.isQuarantined(call.identity, context.now)) {
@@ -362,7 +374,7 @@
         return;
     }
     std::optional<RetryLimit> limit = retryLimit(call, context);
-    // A server that ran it may leave while the caller waits.
+    // The attempts limit may no longer apply when a server that ran the call leaves while the caller waits.
     if (call.hasPartialAnswer && (!limit || *limit == RetryLimit::Attempts)) {
         interrupt(call, reason, context);
         return;
@@ -386,7 +398,7 @@
     finishUnanswered(call, reason, context, limit);
 }
 
-/// Has a call that was running wait for another server, before those that came after it.
+/// Starts another attempt at a call. Without capacity the call is queued ahead of its workspace's other calls.
 void RelayReducer::requeue(Call& call, Context& context)
 {
     call.waitUntil = std::min(call.deadline, context.now + MaxRetryWait);
@@ -395,6 +407,8 @@
         queueOf(call).waiting().pushFront(call.workspace, 1, -call.rank, call.id);
 }
 
+/// Ends a call without a complete answer: refuses it, or breaks off the answer if the caller has a part of it.
+/// @param limit  what forbade another attempt, or nothing if no attempt failed
 void RelayReducer::finishUnanswered(Call& call, Reason reason, Context& context, std::optional<RetryLimit> limit)
 {
     ++m_counters.refused.at(static_cast<std::size_t>(reason));
@@ -411,6 +425,7 @@
     remove(call.id);
 }
 
+/// Cancels a running attempt. The attempt counts against the route's limit.
 void RelayReducer::cancel(Call& call, const Attempt& attempt, CancelCause cause, Context& context)
 {
     context.effects.emplace_back(effect::CancelAttempt { attempt.id, cause });
@@ -421,7 +436,8 @@
     release(call, attempt, context);
 }
 
-/// Cancels the call's attempts but for one, which becomes the main one.
+/// Cancels the running attempts of a call except for one, which becomes the main attempt.
+/// @param kept  default-constructed to cancel all attempts because the call has ended
 void RelayReducer::keepOnly(Call& call, AttemptId kept, Context& context)
 {
     if (call.state != CallState::Running)
@@ -441,6 +457,7 @@
     }
 }
 
+/// Frees the capacity that a finished attempt had booked, including that of an unanswered reroute.
 void RelayReducer::release(Call& call, const Attempt& attempt, Context& context)
 {
     m_attempts.erase(attempt.id);
@@ -455,6 +472,7 @@
         m_fleet.unbook(attempt.pendingReroute, call.tokens);
 }
 
+/// Forgets a call whose attempts have been released.
 void RelayReducer::remove(RequestId id)
 {
     const auto found = m_calls.find(id);
--- a/src/relay/RelayReducerChecks.cpp
+++ b/src/relay/RelayReducerChecks.cpp
@@ -1,8 +1,8 @@
-// What RelayReducer asks engines, and what it does with their answers: which engines are dead, which are slow.
+// How RelayReducer checks engines, and how it reacts to dead, slow and closed ones.
 //
-// The load pattern that this answers: an engine falls silent while dozens of streams pass through it. Each of them
-// waits for its own stall to be long enough, and new ones keep coming; the pause that callers accept is over by then. A
-// check of the few stages that a silent stream depends on sharesDeath a dead one from a busy one within milliseconds.
+// Load pattern: an engine stops answering while dozens of streams pass through it. If each stream waited for its own
+// stall timeout, callers would time out first, and new calls would keep arriving at the engine. A check of the few
+// stages that a silent stream depends on tells a dead engine from a busy one within milliseconds.
 
 #include "relay/RelayReducer.h"
 #include "relay/ScaledDuration.h"
@@ -13,35 +13,39 @@
 
 namespace {
 
-    /// A stream is silent after this multiple of its usual gap; few sound streams have a gap of twice the usual one.
+    /// A stream is silent after this multiple of its mean event gap. Few healthy streams have a gap of twice the mean.
     constexpr double SilentGapFactor = 2.5;
-    /// Shortest silence. The reducer looks each 20 ms.
+    /// Shortest time without an event that counts as silence. The reducer runs every 20 ms.
     constexpr Duration MinSilence = std::chrono::milliseconds(60);
-    /// Part of the objective for which a first event is waited without a question; prompts are read in some 60 ms.
+    /// Share of the route's objective after which a stream without a first event is silent. Engines read a prompt in
+    /// about 60 ms.
     constexpr double FirstEventSilenceShare = 0.3;
-    /// Between two checks of one engine by this instance. One that has just answered is hardly dead.
-    constexpr Duration CheckInterval = std::chrono::milliseconds(400);
+    /// Between two checks of one engine by this instance while it does not answer, and after it answered: an engine
+    /// that has just answered is unlikely to be dead.
+    constexpr Duration UnansweredCheckInterval = std::chrono::milliseconds(400);
     constexpr Duration AnsweredCheckInterval = std::chrono::milliseconds(1000);
-    /// Engines that report more than this are checked again, each so often, until they are well.
+    /// Engines that report a slowness above the threshold are checked again at the interval until they recover.
     constexpr double SlownessRecheckThreshold = 1.5;
     constexpr Duration SlowEngineCheckInterval = std::chrono::milliseconds(1000);
-    /// An engine with an event through it this shortly ago is taken to live.
+    /// An engine is assumed to be alive for this long after the last event through it.
     constexpr Duration GroupCheckSilence = std::chrono::milliseconds(100);
-    /// How long after the death of one engine others are suspected to have died with it. All that died have been silent
-    /// to their own calls by then, and all instances are told of them.
+    /// How long after the failure of one engine others are suspected of having failed with it. By the end of this time
+    /// every failed engine has been silent to its own calls, and all instances have been told.
     constexpr Duration GroupFailureWindow = std::chrono::milliseconds(500);
-    /// Between two urgent checks of one engine. Engines answer within a few milliseconds.
+    /// Between a check of an engine and an urgent one. Engines answer within a few milliseconds.
     constexpr Duration UrgentCheckInterval = std::chrono::milliseconds(100);
-    /// How long a call is held for the answer of a stage to a check: a silent one has missed it by then.
+    /// Longest time that a call waits for a stage to answer a check. A stage that has not answered by then has missed
+    /// it.
     constexpr Duration MaxCheckWait = std::chrono::milliseconds(100);
-    /// Reports are some hundred milliseconds old: one asked for this long after a call was turned away sharesDeath of
-    /// then.
+    /// Age of the load figures in an engine's answer to a check, which is a few hundred milliseconds. A check that is
+    /// sent this long after a rejection returns the load at about the time of the rejection.
     constexpr Duration ReportLag = std::chrono::milliseconds(300);
-    /// An engine that turns calls away with less of its memory taken is not short of it, whatever the prompt.
+    /// Below this share of used memory an engine has room for any prompt, so memory is not why it rejects calls.
     constexpr double MaxMemoryShareWithRoom = 0.7;
-    /// A dead engine is checked again this long before it would be used again.
+    /// A dead engine is checked this long before calls would be sent to it again.
     constexpr Duration DeadRecheckLead = std::chrono::milliseconds(200);
 
+    /// @return whether a stream has had no event for so long that its stages should be checked
     bool isSilent(const Call& call, TimePoint now)
     {
         if (call.main.answerHeldUntil)
@@ -54,6 +58,7 @@
 
 } // namespace
 
+/// Abandons the dead stages of a silent stream, or checks its stalled stages if none is known to be dead.
 void RelayReducer::checkSilentStages(Call& call, Context& context)
 {
     if (!isStream(call.route->kind) || call.main.chain.hops().empty() || !isSilent(call, context.now))
@@ -74,20 +79,22 @@
     }
 }
 
+/// Checks an engine unless it was checked recently or the check budget is spent.
 void RelayReducer::checkEngine(FleetServer& server, Context& context)
 {
-    const Duration interval = server.unansweredChecks ? CheckInterval : AnsweredCheckInterval;
+    const Duration interval = server.unansweredChecks ? UnansweredCheckInterval : AnsweredCheckInterval;
     if (context.now >= server.lastCheck + interval && mayCheck(server) && m_checkBudget.spend())
         sendCheck(server, context);
 }
 
-/// The same where there is a sign that it died: a check that it answered before does not count.
+/// Checks an engine that shows a sign of failure. The shorter interval applies even if it answered the last check.
 void RelayReducer::checkUrgently(FleetServer& server, Context& context)
 {
     if (context.now >= server.lastCheck + UrgentCheckInterval && mayCheck(server) && m_checkBudget.spendUrgent())
         sendCheck(server, context);
 }
 
+/// @return whether the server is an engine without a check under way, and checks are enabled
 bool RelayReducer::mayCheck(const FleetServer& server) const
 {
     return server.isEngine() && !server.beingChecked && !m_options.without.has(Mechanism::EngineChecks);
@@ -113,7 +120,8 @@
     }
 }
 
-/// Others' word that an engine is in trouble is a reason to look, never a verdict: they may be cut off themselves.
+/// Checks engines that other instances report in trouble. Such a report alone marks no engine as dead, because the
+/// reporting instance may itself be behind a network partition.
 void RelayReducer::checkAvoidedEngines(Context& context)
 {
     for (const auto& [id, server] : m_fleet.servers()) {
@@ -122,7 +130,8 @@
     }
 }
 
-/// A stage that an answer blames may be full or dead. New calls learn of a dead one at once, streams only by silence.
+/// Checks the stage that a failed answer names, which may be full or dead. New calls learn at once that a stage is
+/// dead, but running streams notice only that no events arrive.
 void RelayReducer::checkNamedEngine(const Attempt& attempt, const event::AttemptEnded& ended, Context& context)
 {
     FleetServer* named = ended.culprit.empty() ? nullptr : m_fleet.findByAddress(ended.culprit);
@@ -134,11 +143,11 @@
 {
     FleetServer* server = m_fleet.find(checked.engine);
     if (!server || checked.asked != server->entry.startedAt)
-        return; // It started again meanwhile, or is gone.
+        return; // The engine has restarted or was unregistered since the check was sent.
     server->beingChecked = false;
     if (!applyReportedStart(checked.engine, checked.answering, checked.layers, context))
         return;
-    server = m_fleet.find(checked.engine); // A new start stands at another place.
+    server = m_fleet.find(checked.engine); // A new start replaces the fleet's entry.
     if (!server)
         return;
     if (checked.answered) {
@@ -159,7 +168,7 @@
         context.effects.emplace_back(effect::ShareFinding { checked.engine, server->entry.startedAt });
     if (server && server->unansweredChecks == 1)
         checkEnginesAfterFailure(checked.refused, context);
-    // Streams through a process that is gone hold memory at all other stages until their callers give up on them.
+    // Streams through an ended process hold memory at all other stages until their callers time out.
     if (checked.refused)
         abandonEndedServer(checked.engine, context);
     else
@@ -167,10 +176,10 @@
     dispatchAll(context);
 }
 
-/// Asks engines that turned calls away whether they had room then.
+/// Checks engines that rejected calls, to learn whether they had room at that time.
 ///
-/// The load pattern that this answers: engines leave while the store is silent, so that no list says so. Each instance
-/// is turned away by each of them again and again, which spends the retries of all.
+/// Load pattern: engines leave while the store does not answer, so their entries do not show that they leave. Each
+/// instance is rejected by each of these engines again and again, which spends the retries of all instances.
 void RelayReducer::checkClosedEngines(Context& context)
 {
     for (const BackendId& id : m_fleet.checkCandidates(context.now)) {
@@ -178,14 +187,14 @@
         if (!suspect.closedCheckDue || context.now < suspect.turnedAwayAt + ReportLag)
             continue;
         suspect.closedCheckDue = false;
-        const bool isSettled = suspect.acceptedAt > suspect.turnedAwayAt || suspect.isClosed(context.now);
-        if (!isSettled && !suspect.isDead(context.now))
+        const bool isResolved = suspect.acceptedAt > suspect.turnedAwayAt || suspect.isClosed(context.now);
+        if (!isResolved && !suspect.isDead(context.now))
             checkUrgently(suspect, context);
     }
 }
 
-/// An engine that turned a call away, has accepted none since and has room takes no new work. All are told, since each
-/// would find out by a call that is turned away.
+/// Marks an engine as closed, that is, accepting no new work, if it rejected a call, has accepted none since and has
+/// room. The finding is shared, because each other instance would otherwise need a rejected call to learn of it.
 void RelayReducer::recordClosed(const event::EngineChecked& checked, Context& context)
 {
     const FleetServer* server = m_fleet.find(checked.engine);
@@ -217,13 +226,15 @@
     }
 }
 
-/// The death of one engine raises the chance that others died with it, as with their rack or switch. A stream that is
-/// sent on before that is known meets the next dead stage, and after three of these it is given up. Engines that own
-/// calls pass through are asked at once, the others where a call would go there: if each instance asked all, sound
-/// engines would be busy with connections and taken for dead.
+/// Checks engines that may have failed together with another one, as when a rack or a switch fails. A stream that moves
+/// on before such failures are known reaches the next dead stage, and fails after three of them.
 ///
-/// @param isCertain  the engine is dead for certain; one that only did not answer may be overloaded, and then it does
-///                   not keep calls from going elsewhere at once
+/// Engines that run calls of this instance are checked at once, and others only when a call would go there. If every
+/// instance checked all engines, healthy ones would be busy with connections and be taken for dead.
+///
+/// @param isCertain  whether the failed engine is known to be dead. An engine that only did not answer may be
+/// overloaded,
+///                   and does not make calls wait for checks of other engines.
 void RelayReducer::checkEnginesAfterFailure(bool isCertain, Context& context)
 {
     if (isCertain)
@@ -234,6 +245,7 @@
     }
 }
 
+/// Checks an engine urgently, unless an event passed through it recently or it is already known to be dead.
 void RelayReducer::checkForGroupFailure(FleetServer& server, Context& context)
 {
     if (server.lastProgress + GroupCheckSilence > context.now || server.isDead(context.now))
@@ -242,10 +254,11 @@
     checkUrgently(server, context);
 }
 
-/// @return whether a stage is suspected for the death of another one, and is about to answer whether it lives
+/// Checks the stages of a chain that may have failed together with another engine, see checkEnginesAfterFailure.
+/// @return whether a stage has yet to answer such a check
 bool RelayReducer::awaitsCheck(const Chain& chain, Context& context)
 {
-    const bool isSuspicious = m_lastCertainFailureAt && context.now < *m_lastCertainFailureAt + GroupFailureWindow;
+    const bool isWithinWindow = m_lastCertainFailureAt && context.now < *m_lastCertainFailureAt + GroupFailureWindow;
     bool awaits = false;
     for (const Hop& hop : chain.hops()) {
         FleetServer* server = m_fleet.find(hop.backend);
@@ -253,15 +266,15 @@
             continue;
         const bool isKnownSinceFailure
             = std::max(server->lastCheck, server->listedAt) >= m_lastCertainFailureAt.value_or(context.now);
-        if (isSuspicious && !isKnownSinceFailure)
+        if (isWithinWindow && !isKnownSinceFailure)
             checkForGroupFailure(*server, context);
         awaits = awaits || (server->beingChecked && context.now < server->sweptAt + MaxCheckWait);
     }
     return awaits;
 }
 
-/// Another instance's check and an own stream that is silent there are proof enough; without such a stream it is
-/// checked.
+/// Takes an engine for dead if another instance found it dead and a stream of this instance is silent there. Without
+/// such a stream the engine is checked.
 void RelayReducer::on(const event::EnginesReportedDead& reported, Context& context)
 {
     for (const auto& [id, server] : m_fleet.servers()) {
@@ -288,6 +301,7 @@
     });
 }
 
+/// Moves all silent streams that may be repeated off a dead engine.
 void RelayReducer::abandonDeadEngine(const BackendId& engine, Context& context)
 {
     for (auto& [id, call] : m_calls) {
--- a/src/relay/RelayReducerCrashes.cpp
+++ b/src/relay/RelayReducerCrashes.cpp
@@ -1,8 +1,8 @@
-// What RelayReducer does about requests under which servers end.
+// How RelayReducer detects and quarantines requests that crash servers.
 //
-// The load pattern that this answers: callers send a request that crashes each server that runs it, again and again, to
-// any instance. Each crash ends all other streams through that server, and it comes back empty: a few such requests
-// keep a fleet from answering anybody.
+// Load pattern: callers send a request that crashes each server that runs it, again and again, to any instance. Each
+// crash ends all other streams through that server, which restarts empty. A few such requests keep a whole fleet from
+// answering any caller.
 
 #include "relay/RelayReducer.h"
 
@@ -12,19 +12,20 @@
 
 namespace {
 
-    /// How often it is looked whether a held call may go on.
+    /// Between two checks whether a held call may be queued.
     constexpr Duration HoldCheckInterval = std::chrono::milliseconds(50);
-    /// Between two probes of a server where the first did not tell whether it lives.
+    /// Between two probes of a server if the first did not show whether it is alive.
     constexpr Duration ReprobeInterval = std::chrono::milliseconds(400);
-    /// A call is held so long at most: by then each end has been told from the loss of a group, or cannot be.
+    /// Longest time that a call is held. By then each server end has been told apart from a group failure, or it cannot
+    /// be told apart at all.
     constexpr Duration MaxHold = std::chrono::milliseconds(1000);
 
-    /// @return what the end of a server tells of a call that had an attempt there
+    /// @return how strongly the end of a server suggests that an attempt there caused it
     CrashSign signOf(const Call& call, const Attempt& attempt)
     {
         if (!attempt.wasSent || call.hasRunSoundly)
             return CrashSign::None;
-        // A plain service's answer comes whole: nothing shows that it has begun.
+        // A plain service sends its answer as a whole, so nothing shows when the server began to run the call.
         if (!isStream(call.route->kind))
             return CrashSign::JustBegun;
         if (!attempt.answerBegunAt)
@@ -35,16 +36,18 @@
 
 } // namespace
 
+/// @return whether crashes count against requests; false if the quarantine is disabled
 bool RelayReducer::countsCrashes() const { return !m_options.without.has(Mechanism::Quarantine); }
 
-/// @return what the end of a server tells of a call that had an attempt there; nothing where its request lately ran
-/// well
+/// @return how strongly the end of a server suggests that an attempt there caused it; CrashSign::None if the request
+/// recently ran soundly
 CrashSign RelayReducer::crashSign(const Call& call, const Attempt& attempt) const
 {
     return m_soundRequests.contains(call.identity) ? CrashSign::None : signOf(call, attempt);
 }
 
-/// An attempt broke off, or was given up at a server that may be dead.
+/// Records an attempt that broke off, or that was cancelled at a server that may be dead. It becomes evidence against
+/// the request if one of its servers turns out to have ended.
 void RelayReducer::recordLostAttempt(const Call& call, const Attempt& attempt, Context& context)
 {
     const CrashSign sign = crashSign(call, attempt);
@@ -62,8 +65,8 @@
     checkUnsettledServers(context);
 }
 
-/// Servers under which attempts broke off are asked whether they live. The answer to an earlier question does not
-/// count.
+/// Checks or probes the servers of attempts that broke off, to learn which are alive. A check that was sent before the
+/// attempt broke off does not count.
 void RelayReducer::checkUnsettledServers(Context& context)
 {
     const auto unsettled = m_crashEvidence.unsettledServers();
@@ -83,7 +86,7 @@
     }
 }
 
-/// A plain server gives no report; its health check names the start that answers.
+/// Sends a health check to a plain server, which answers no engine check. The answer names the start of its process.
 void RelayReducer::probe(FleetServer& server, Context& context)
 {
     const Service* service = m_routes ? m_routes->service(server.entry.service) : nullptr;
@@ -98,7 +101,7 @@
 {
     FleetServer* server = m_fleet.find(probed.server);
     if (!server || !server->beingChecked)
-        return; // Another start has taken its place.
+        return; // The server was replaced by a later start.
     using Finding = event::ServerProbed::Finding;
     server->beingChecked = false;
     server->nextProbe.reset();
@@ -110,7 +113,8 @@
         server->nextProbe = context.now + ReprobeInterval;
 }
 
-/// A server's process has ended. One that was leaving has done so by itself.
+/// Records that a server's process has ended, with the calls that it was running. A leaving server ends on purpose and
+/// is not counted.
 void RelayReducer::recordServerEnded(const FleetServer& server, Context& context)
 {
     if (server.entry.leaving || !countsCrashes())
@@ -133,6 +137,7 @@
             effect::NoteBelief { effect::NoteBelief::Belief::ProcessEnded, server.entry.id, server.entry.startedAt });
 }
 
+/// Counts the server ends that are now known to be crashes, and shares them with the other instances.
 void RelayReducer::settleCrashes(Context& context)
 {
     checkUnsettledServers(context);
@@ -148,6 +153,8 @@
     releaseHeldCalls(context);
 }
 
+/// Counts a crash against its request, and quarantines the request if there is enough evidence.
+/// @param isOwn  whether this instance saw the crash, rather than learning of it from another one
 void RelayReducer::countCrash(const CrashReport& report, bool isOwn, Context& context)
 {
     const RequestQuarantine::Change change = m_quarantine.add(report, context.now);
@@ -160,6 +167,8 @@
         quarantine(report.suspect.request, isOwn, context);
 }
 
+/// Ends the open calls of a request that was just quarantined.
+/// @param isOwn  whether this instance came to the verdict first
 void RelayReducer::quarantine(const RequestIdentity& request, bool isOwn, Context& context)
 {
     ++m_counters.quarantined;
@@ -167,7 +176,7 @@
     context.effects.emplace_back(effect::QuarantineRequest { request, servers, m_quarantine.points(request), isOwn });
     std::vector<RequestId> open;
     for (const auto& [id, call] : m_calls) {
-        // A stream whose caller has a part of it speaks for the request: it may end by itself.
+        // A partly delivered stream is evidence in favour of the request, so it may complete.
         if (call.identity == request && !call.hasPartialAnswer)
             open.push_back(id);
     }
@@ -203,7 +212,9 @@
     clearRequest(lifted.request, false, context);
 }
 
-/// @return whether anything was held against the request
+/// Forgets all evidence against a request, and its quarantine.
+/// @param isOwn  whether this instance saw the request run soundly
+/// @return whether there was any evidence
 bool RelayReducer::clearRequest(const RequestIdentity& request, bool isOwn, Context& context)
 {
     const bool wasQuarantined = m_quarantine.isQuarantined(request, context.now);
@@ -214,8 +225,8 @@
     return true;
 }
 
-/// A request that runs for longer than one that crashes its server does, or to its end, is sound, whatever ended beside
-/// it.
+/// Records that a request is sound: it ran longer than a request that crashes its server, or to its end. Evidence from
+/// servers that ended while it was there is dropped.
 void RelayReducer::recordSoundRequest(Call& call, Context& context)
 {
     call.hasRunSoundly = true;
@@ -224,8 +235,8 @@
         context.effects.emplace_back(effect::ShareSoundRequest { call.identity });
 }
 
-/// @return whether the ends of servers that are not judged yet may be enough to quarantine the request: then one more
-///         server for it could be one too many
+/// Another attempt at a request that crashes servers would end one more of them.
+/// @return whether server ends that are not settled yet may be enough to quarantine the request
 bool RelayReducer::awaitsCrashVerdict(const Call& call) const
 {
     if (!countsCrashes() || call.hasRunSoundly)
@@ -235,7 +246,7 @@
     return open && m_quarantine.points(call.identity) + each * open >= RequestQuarantine::Limit;
 }
 
-/// Keeps a call out of the queue, where it would hold up those behind it.
+/// Keeps a call out of the queue until there is a verdict on its request. In the queue it would block those behind it.
 void RelayReducer::holdCall(Call& call, Context& context)
 {
     call.state = CallState::Waiting;
@@ -245,6 +256,7 @@
     ++m_counters.held;
 }
 
+/// Queues held calls whose request has a verdict, or that were held for long enough.
 void RelayReducer::releaseHeldCalls(Context& context)
 {
     std::vector<RequestId> due;
--- a/src/relay/RelayReducerMoves.cpp
+++ b/src/relay/RelayReducerMoves.cpp
@@ -1,9 +1,9 @@
-// How RelayReducer brings answers to their end whose server leaves or is lost.
+// How RelayReducer completes answers whose server leaves or is lost.
 //
-// The load pattern that this answers: engines are replaced one after the other while dozens of streams run at each. A
-// first stage cannot be replaced within a run: its streams go on by an attempt at another chain, which has to read the
-// prompt and all that was written, while the engine sends the next event within some tens of milliseconds. The engines
-// that remain are full and turn some of these attempts away.
+// Load pattern: engines are replaced one after the other while dozens of streams run at each of them. A first stage
+// cannot be replaced by a reroute. Its streams need a new attempt at another chain, which has to read the prompt and
+// all text written so far, while the old engine sends the next event within tens of milliseconds. The remaining engines
+// are full and reject some of these attempts.
 
 #include "relay/RelayReducer.h"
 
@@ -13,25 +13,26 @@
 
 namespace {
 
-    /// Between two tries to move one stream: an engine that had no room would take it only at the cost of others.
+    /// Between two attempts to move one stream. An engine without room would take it only at the cost of other calls.
     constexpr Duration MoveInterval = std::chrono::seconds(10);
-    /// How long an answer is held back for the attempt that is to go on with it. Callers wait two seconds for an event.
+    /// Longest time that an answer is held back for the attempt that will continue it. Callers wait two seconds for an
+    /// event.
     constexpr Duration MaxAnswerHold = std::chrono::milliseconds(1000);
-    /// Shortest pause in an answer after which callers leave.
+    /// Shortest pause in an answer after which callers give up.
     constexpr Duration CallerEventTimeout = std::chrono::milliseconds(2000);
-    /// Between two searches for a server that could go on with an answer.
+    /// Between two searches for a server that can continue an interrupted answer.
     constexpr Duration ResumeInterval = std::chrono::milliseconds(20);
 
 } // namespace
 
-/// @return whether a server is about to go, or has gone
+/// @return whether a server is leaving or no longer registered
 bool RelayReducer::isLeaving(const BackendId& id) const
 {
     const auto server = m_fleet.servers().find(id);
     return server == m_fleet.servers().end() || server->second.entry.leaving;
 }
 
-/// @return whether a stage's engine leaves, or gives up layers that the stage runs
+/// @return whether a stage's engine leaves, or no longer holds all layers that the stage runs
 bool RelayReducer::mustLeave(const Hop& hop) const
 {
     if (isLeaving(hop.backend))
@@ -40,7 +41,7 @@
     return held.begin > hop.layers.begin || held.end < hop.layers.end;
 }
 
-/// @return the stages that the call should leave by now
+/// @return the stages of the main attempt that the call should have left by now
 std::vector<BackendId> RelayReducer::stagesToLeave(const Call& call, TimePoint now) const
 {
     std::vector<BackendId> stages;
@@ -52,6 +53,7 @@
     return stages;
 }
 
+/// Moves running calls off stages that leave or give up layers, once the time for it has come.
 void RelayReducer::moveOffLeaving(Context& context)
 {
     if (m_moveOffAt.empty())
@@ -60,21 +62,26 @@
     for (auto& [id, call] : m_calls) {
         if (call.state != CallState::Running)
             continue;
-        const std::vector<BackendId> excluded = stagesToLeave(call, context.now);
-        used.insert(excluded.begin(), excluded.end());
-        if (!excluded.empty() && !call.second && call.main.pendingReroute.hops().empty()
+        const std::vector<BackendId> stages = stagesToLeave(call, context.now);
+        used.insert(stages.begin(), stages.end());
+        if (!stages.empty() && !call.second && call.main.pendingReroute.hops().empty()
             && context.now >= call.main.nextMoveAt)
-            moveOff(call, excluded, context);
+            moveOff(call, stages, context);
     }
-    // An engine that only gives up layers ends its streams first: they are better off there than on a full one.
+    // An engine that only gives up layers completes its streams first. Those that could not be moved at once stay,
+    // since they are better off there than on a full engine.
     std::erase_if(m_moveOffAt, [&](const auto& each) {
         return context.now >= each.second && (!used.count(each.first) || !isLeaving(each.first));
     });
 }
 
-/// A later stage is replaced. A first stage cannot be: where it only gives up layers the stream goes on at another
-/// chain, and the engine is free for its new ones. A stream whose first stage leaves stays: most end before the server
-/// does, the others are resumed then, and a move would cost each a retry and a pause.
+/// Moves a running call off stages.
+///
+/// Later stages are replaced by a reroute. A first stage cannot be replaced. If it only gives up layers, a second
+/// attempt continues the stream at another chain, so that the engine can load its new layers. If the first stage
+/// leaves, the stream stays: most streams end before the server does, the others are resumed then, and a move would
+/// cost each a retry and a pause.
+/// @param excluded  stages to move off
 void RelayReducer::moveOff(Call& call, const std::vector<BackendId>& excluded, Context& context)
 {
     call.main.nextMoveAt = context.now + MoveInterval;
@@ -87,8 +94,8 @@
         holdAnswer(call, context);
 }
 
-/// The other attempt goes on after the last delivered event: each further one of the main attempt would put it out of
-/// use, so that it could never win against a server that still sends.
+/// Holds back the events of the main attempt. The second attempt resumes after the last delivered event, so any further
+/// event of the main attempt would make it useless, and it could never replace a server that still sends.
 void RelayReducer::holdAnswer(Call& call, Context& context)
 {
     if (!call.hasPartialAnswer)
@@ -97,6 +104,7 @@
     context.effects.emplace_back(effect::HoldAnswer { call.main.id });
 }
 
+/// Delivers the events of the main attempt again, if they are held back.
 void RelayReducer::continueAnswer(Call& call, Context& context)
 {
     if (!call.main.answerHeldUntil)
@@ -106,14 +114,15 @@
     context.effects.emplace_back(effect::ContinueAnswer { call.main.id });
 }
 
+/// Keeps the main attempt if its answer was held back for too long.
 void RelayReducer::releaseOverdueAnswer(Call& call, Context& context)
 {
     if (call.main.answerHeldUntil && context.now >= *call.main.answerHeldUntil)
         keepOnly(call, call.main.id, context);
 }
 
-/// The server of an answer that the caller has a part of is lost. It goes on at the first server with room while the
-/// caller waits for it.
+/// Interrupts a partly delivered answer whose attempt has ended. It resumes at the first server with capacity, unless
+/// the caller gives up before.
 void RelayReducer::interrupt(Call& call, Reason reason, Context& context)
 {
     call.state = CallState::Waiting;
@@ -124,6 +133,8 @@
         m_interrupted.insert(call.id);
 }
 
+/// Tries to resume an interrupted answer.
+/// @return whether an attempt was started
 bool RelayReducer::resume(Call& call, Context& context)
 {
     if (context.now < call.nextResumeAt)
@@ -139,8 +150,9 @@
     return true;
 }
 
-/// A call that is refused can come back; an answer that ends midway is lost with all that was written.
-/// @return whether the next retry of a service is for an answer that waits for one
+/// Gives interrupted answers precedence for retries. A refused caller can retry, but an answer that is broken off loses
+/// all text written so far.
+/// @return whether an interrupted answer of the service waits for the retry budget
 bool RelayReducer::isRetryReserved(const ServiceId& service) const
 {
     return std::any_of(m_interrupted.begin(), m_interrupted.end(), [&](const RequestId& id) {
@@ -149,6 +161,7 @@
     });
 }
 
+/// Tries to resume each interrupted answer.
 void RelayReducer::resumeInterrupted(Context& context)
 {
     std::vector<RequestId> resumed;
--- a/src/relay/RelayReducerPlacing.cpp
+++ b/src/relay/RelayReducerPlacing.cpp
@@ -1,4 +1,4 @@
-// How RelayReducer places calls: which waits, which runs where, and when a refused one should come back.
+// How RelayReducer queues and places calls, and when refused callers should retry.
 
 #include "relay/RelayReducer.h"
 #include "relay/ScaledDuration.h"
@@ -10,18 +10,20 @@
 
 namespace {
 
-    /// Half of the streams in flight end within about so long.
+    /// Shortest expected rest of a shortage. About half of the streams in flight end within this time.
     constexpr Duration MinExpectedShortage = std::chrono::milliseconds(1300);
-    /// Callers heed a time to come back up to a third of what they have left, of 20 s on the users' platforms.
+    /// Longest expected rest of a shortage. Callers ignore a Retry-After of more than a third of their remaining time,
+    /// which is 20 s at first on the users' platforms.
     constexpr Duration MaxExpectedShortage = std::chrono::milliseconds(4000);
-    /// Parts of the expected rest of a shortage between which callers come back.
+    /// Retry-After times are spread between these multiples of the expected rest of a shortage.
     constexpr double MinRetryAfterFactor = 0.5;
     constexpr double MaxRetryAfterFactor = 1.5;
-    /// Longest time for which an answer under way does not go back to a stage that turned it away.
+    /// Longest time for which a partly delivered answer avoids a stage that rejected it.
     constexpr Duration MaxAnswerRetryPause = std::chrono::milliseconds(500);
 
 } // namespace
 
+/// Places what can be placed. Interrupted answers come before the queues.
 void RelayReducer::dispatchAll(Context& context)
 {
     resumeInterrupted(context);
@@ -29,6 +31,7 @@
         dispatch(queue.waiting(), context);
 }
 
+/// Places the calls of a queue in order, up to the first one without capacity.
 void RelayReducer::dispatch(FairQueue& queue, Context& context)
 {
     while (const auto next = queue.pop()) {
@@ -43,9 +46,11 @@
     }
 }
 
+/// Starts the main attempt of a waiting call.
+/// @return false if the call has to wait for capacity
 bool RelayReducer::place(Call& call, Context& context)
 {
-    // A stream that the caller has a part of goes on in any case.
+    // The concurrency limit does not apply to partly delivered streams.
     const bool limited = !m_options.without.has(Mechanism::StreamLimit);
     if (limited && isStream(call.route->kind) && !call.hasPartialAnswer && !queueOf(call).hasRoom())
         return false;
@@ -62,6 +67,8 @@
     return true;
 }
 
+/// Chooses servers for an attempt, books their capacity and emits StartAttempt.
+/// @return the attempt, or nothing if no server has capacity or a stage is being checked
 std::optional<Attempt> RelayReducer::startAttempt(Call& call, AttemptPurpose purpose, Context& context)
 {
     auto placement = m_placer.place(call, context.now, context.entropy);
@@ -96,6 +103,7 @@
     return attempt;
 }
 
+/// @return when the caller should retry after a refusal for a reason other than NoCapacity; zero if a retry is useless
 Duration RelayReducer::retryAfterFor(Reason reason, const Context& context) const
 {
     const auto between = [&](std::int64_t leastMs, std::int64_t mostMs) {
@@ -113,9 +121,11 @@
     }
 }
 
-/// A shortage that has lasted for some time is expected to last as long again: its causes range from a burst of half a
-/// second to an engine whose layers are loaded elsewhere in five. A caller comes back once or twice only, so one that
-/// comes back too early is not served at all. The spread keeps the return from being a wave.
+/// Notes a refusal for lack of capacity and returns when the caller should retry.
+///
+/// A shortage is expected to last for as long again as it has lasted, because its causes range from a burst of half a
+/// second to an engine whose layers take five seconds to load elsewhere. Callers retry only once or twice, so one that
+/// retries too early is not served at all. The times are spread so that callers do not return all at once.
 Duration RelayReducer::retryAfterShortage(ServiceQueue& queue, const Context& context) const
 {
     const Duration shortage = queue.refused(context.now);
@@ -125,9 +135,10 @@
     return scaled(expected, MinRetryAfterFactor + part * (MaxRetryAfterFactor - MinRetryAfterFactor));
 }
 
-/// This instance's share of the retries that all may make beyond the ratio.
+/// @return this instance's share of the retries that all instances may make beyond the retry ratio
 double RelayReducer::retryBurst() const { return std::max(2.0, m_options.retrySlack / m_placer.instances()); }
 
+/// @return the share of the retry burst, from 0 to 1, that is granted at the present age of the process
 double RelayReducer::retryBurstShare() const
 {
     if (m_options.retryRipening.count() <= 0)
@@ -141,8 +152,9 @@
     return m_budgets.try_emplace(service, m_options.retryRatio, retryBurst(), retryBurstShare()).first->second;
 }
 
-/// A call that a stage has just turned away goes there again only after that stage's pause: attempts at the one engine
-/// that is left would spend retries for nothing. An answer under way waits less: its caller leaves within seconds.
+/// Keeps a call from a stage that rejected it until the stage's avoidance time is over. Otherwise attempts at the only
+/// engine left would spend retries for nothing. A partly delivered answer waits less, because its caller gives up
+/// within seconds.
 bool RelayReducer::isKnownFull(const Call& call, const Chain& chain, TimePoint now) const
 {
     return std::any_of(chain.hops().begin(), chain.hops().end(), [&](const Hop& hop) {
--- a/src/relay/RelayReducerServers.cpp
+++ b/src/relay/RelayReducerServers.cpp
@@ -1,7 +1,7 @@
-// What RelayReducer does as backend servers come, start again and go.
+// How RelayReducer reacts when backend servers register, restart or leave.
 //
-// The load pattern that this answers: engines start again while dozens of streams pass through each of them. Whatever
-// ran there is lost at that moment, though the first stages still wait for it and say so only seconds later.
+// Load pattern: engines restart while dozens of streams pass through each of them. Everything that ran there is lost at
+// that moment, but the first stages still wait for the engine and report the loss only seconds later.
 
 #include "relay/RelayReducer.h"
 
@@ -11,10 +11,10 @@
 
 namespace {
 
-    /// Entries that fit no service and are kept for the next configuration. Another client of the store may write any
-    /// number of them.
+    /// Most entries that fit no service and are kept for the next configuration. Other clients of the store may write
+    /// any number of them.
     constexpr std::size_t MaxUnusableEntries = 1000;
-    /// Between two tries to replace a lost stage; each is a search over all engines.
+    /// Between two attempts to replace a lost stage. Each is a search over all engines.
     constexpr Duration LostStageRetryInterval = std::chrono::milliseconds(200);
 
 } // namespace
@@ -24,6 +24,7 @@
     registerServer(registered.server, context);
 }
 
+/// Processes a server's entry, which may be new, changed or outdated, or not fit the configuration.
 void RelayReducer::registerServer(const RegisteredServer& server, Context& context)
 {
     using Belief = effect::NoteBelief::Belief;
@@ -47,7 +48,7 @@
         recordServerEnded(ended, context);
         abandonEndedServer(ended.entry.id, context);
     }
-    // An engine that gives up layers waits for the streams through them before it takes others.
+    // An engine that gives up layers waits for the streams through them before it loads others.
     if (movesLayers && registration.ended.empty())
         m_moveOffAt[server.id] = context.now;
     if (server.leaving)
@@ -56,6 +57,7 @@
         dispatchAll(context);
 }
 
+/// @return whether the entry fits a service of the configuration; true before the first configuration
 bool RelayReducer::isUsable(const RegisteredServer& server) const
 {
     if (!m_routes)
@@ -64,7 +66,7 @@
     return service && (!service->engine || server.layers.end <= service->engine->layers);
 }
 
-/// Such an entry names no server, also where it replaces one that did; a later configuration may give it a meaning.
+/// Keeps an entry that does not fit the configuration for the next one, and unregisters the server that it replaces.
 void RelayReducer::keepUnusableEntry(const RegisteredServer& server, Context& context)
 {
     ++m_counters.entriesUnusable;
@@ -79,12 +81,12 @@
 void RelayReducer::on(const event::ServerUnregistered& gone, Context& context)
 {
     m_unusable.erase(gone.server);
-    // One that leaves without a word answers until its entry ends.
+    // A server that leaves without notice still answers checks until its entry ends, so a missed check shows a crash.
     if (const FleetServer* server = m_fleet.find(gone.server); server && server->unansweredChecks)
         recordServerEnded(*server, context);
     if (m_fleet.remove(gone.server, context.now))
         context.effects.emplace_back(effect::NoteBelief { effect::NoteBelief::Belief::Reinstated, gone.server, {} });
-    // Some servers leave without a word; they too go on serving for a while.
+    // Servers that leave without notice also keep serving for a while.
     m_moveOffAt.try_emplace(gone.server, context.now + m_options.rerouteDelay);
 }
 
@@ -93,9 +95,10 @@
     applyReportedStart(seen.engine, seen.startedAt, {}, context);
 }
 
-/// Takes in that an engine named its start. One that is later than its entry's holds what it says now, not what the
-/// entry says, and the entry follows.
-/// @return whether that start is the one that is known from now on
+/// Processes the start time that an engine reports. If it is later than in the engine's entry, the entry is outdated
+/// and is replaced by one with the reported start and layers.
+/// @param layers  layers that the engine holds now; empty if it did not say
+/// @return whether the reported start is the one that is known from now on
 bool RelayReducer::applyReportedStart(
     const BackendId& id, StartTime startedAt, const LayerRange& layers, Context& context)
 {
@@ -113,6 +116,7 @@
     return true;
 }
 
+/// Handles the lost stage of each running call that uses a server whose process has ended.
 void RelayReducer::abandonEndedServer(const BackendId& ended, Context& context)
 {
     std::vector<RequestId> lost;
@@ -128,35 +132,37 @@
     }
 }
 
-/// @return whether a stage is gone for certain
+/// @return whether the process of a stage is known to have ended
 bool RelayReducer::hasEndedStage(const Chain& chain) const
 {
     return std::any_of(chain.hops().begin(), chain.hops().end(), [&](const Hop& hop) { return isGone(hop.backend); });
 }
 
-/// @return whether a server is gone for certain: a later start took its place, or nobody listens there
+/// @return whether a server's process is known to have ended: a later start replaced it, or its port refuses
+/// connections
 bool RelayReducer::isGone(const BackendId& id) const
 {
     const auto server = m_fleet.servers().find(id);
     return server == m_fleet.servers().end() ? m_fleet.hasEnded(id) : server->second.refusedCheck;
 }
 
-/// @return whether the start of the server that took the attempt has ended; another one may bear its id
+/// @return whether the process that accepted the attempt has ended. A new process may have the same id.
 bool RelayReducer::hasLostServer(const Attempt& attempt) const
 {
     return attempt.hasServerEnded || (isGone(attempt.server) && !mayFinishCalls(attempt.server));
 }
 
-/// A server that leaves stops listening before the calls that it took have ended: to cut them for that would lose
-/// answers that it goes on sending.
-/// @return whether a server that takes no connection may still run calls
+/// A leaving server stops listening before its calls have ended. Ending them for a refused connection would lose
+/// answers that the server still sends.
+/// @return whether a server that refuses connections may still run calls
 bool RelayReducer::mayFinishCalls(const BackendId& id) const
 {
     const auto server = m_fleet.servers().find(id);
     return server != m_fleet.servers().end() && server->second.entry.leaving;
 }
 
-/// A running attempt lost a stage: that is replaced, or the call goes on elsewhere, or it ends with a true word.
+/// Handles a running call that uses a server whose process has ended: replaces the stage by a reroute, continues with
+/// another attempt, or ends the call with its true reason.
 void RelayReducer::handleLostStage(Call& call, const BackendId& lost, Context& context)
 {
     if (call.second && call.second->usesServer(lost)) {
@@ -168,7 +174,7 @@
     call.main.hasLostStage = true;
     call.main.hasServerEnded = call.main.hasServerEnded || call.main.server == lost;
     if (call.second) {
-        // An answer that the caller has a part of is kept until the other attempt delivers: it may be turned away yet.
+        // The second attempt may still be rejected, so a partly delivered answer is kept until the second one delivers.
         if (call.hasPartialAnswer && !hasLostServer(call.main))
             return;
         cancelLostAttempt(call, call.main, context);
@@ -181,7 +187,7 @@
         replaceOrEndAttempt(call, context);
 }
 
-/// Goes on with attempts whose lost stage could not be replaced at once.
+/// Tries again to replace lost stages that could not be replaced at once.
 void RelayReducer::retryLostStages(Context& context)
 {
     std::vector<RequestId> waiting;
@@ -197,8 +203,11 @@
     }
 }
 
-/// An answer that the caller has a part of is given up only for an attempt that begins now: without one its server ends
-/// it, or its caller. Cut here it would break the promise that planned work loses nothing.
+/// Continues a call whose main attempt lost a stage that no reroute can replace.
+///
+/// A call without a delivered event is retried or finished. A partly delivered answer is given up only for an attempt
+/// that starts now. Without one, its server or its caller ends it, because ending it here would break the guarantee
+/// that planned maintenance loses no answers.
 void RelayReducer::replaceOrEndAttempt(Call& call, Context& context)
 {
     if (!call.hasPartialAnswer) {
@@ -208,7 +217,7 @@
     }
     call.main.nextReplacementAt = context.now + LostStageRetryInterval;
     const std::uint32_t counted = hasLostServer(call.main) ? 0 : 1;
-    // The caller's part of the answer shows that this attempt has run, though it has not ended.
+    // The partial answer shows that this attempt has run, although it has not ended.
     if (!isRepeatable(call.route->kind))
         return;
     if (awaitsCrashVerdict(call) || countedAttempts(call) + counted >= call.route->maxAttempts
@@ -219,8 +228,8 @@
         return;
     budgetOf(call.service).spend();
     ++m_counters.retried.at(static_cast<std::size_t>(Reason::ConnectionLost));
-    // A first stage that lives may still end the answer, and the next server may turn the call away: the first to go on
-    // is kept, or an answer could end midway for a rejection.
+    // A live first stage may still complete the answer, and the new server may reject the call. The first attempt to
+    // deliver is kept, so that a rejection does not break off the answer.
     if (!hasLostServer(call.main)) {
         call.second = *std::move(next);
         return;
@@ -232,8 +241,8 @@
     call.meanEventGap = Duration(0);
 }
 
-/// Cancels an attempt that has lost a stage. The route's limit leaves it out only where the server that took the call
-/// is the one that ended: the others can still run it.
+/// Cancels an attempt that has lost a stage. It counts against the route's limit unless the lost stage is the server
+/// that accepted the call, because the other servers can then still run the call.
 void RelayReducer::cancelLostAttempt(Call& call, const Attempt& attempt, Context& context)
 {
     context.effects.emplace_back(effect::CancelAttempt { attempt.id, CancelCause::LostStage });
--- a/src/relay/RelayReducerTime.cpp
+++ b/src/relay/RelayReducerTime.cpp
@@ -1,4 +1,4 @@
-// What RelayReducer does as time passes: deadlines, stalls, reroutes, second attempts.
+// How RelayReducer handles ticks: deadlines, stalled streams, reroutes and second attempts.
 
 #include "relay/RelayReducer.h"
 #include "relay/ScaledDuration.h"
@@ -9,11 +9,14 @@
 
 namespace {
 
-    /// A stage with an event this shortly before a stall began is still held to have stalled.
+    /// A stage counts as stalled unless an event of any call passed it more than this long after the call's own last
+    /// event.
     constexpr Duration StallTolerance = std::chrono::milliseconds(40);
-    /// A chain whose stages all move for other calls may be slow with this one: it gets this many times longer.
+    /// Multiple of the stall limit for a chain whose stages all make progress with other calls. It may only be slow
+    /// with this call.
     constexpr int UnexplainedStallFactor = 3;
-    /// So many stages without a sign of life are few enough to leave them all.
+    /// Most stages that are all abandoned when they stall. If more seem to have stalled, the first stage is asked which
+    /// one has.
     constexpr std::size_t MaxSuspectedStages = 2;
 
 } // namespace
@@ -40,8 +43,8 @@
     dispatchAll(context);
 }
 
-/// Calls that came before the first configuration are admitted once it is there, and what was read with it, as the
-/// backend servers; or refused when they have waited for long enough.
+/// Admits calls that arrived before the first configuration, and refuses those that have waited too long. This happens
+/// at a tick, after the events that follow the configuration, so that the backend servers read with it are known.
 void RelayReducer::admitEarlyCalls(Context& context)
 {
     std::vector<EarlyCall> due;
@@ -55,6 +58,7 @@
         admitOrRefuse(waiting.arrival, waiting.arrived, context);
 }
 
+/// Ends calls whose deadline has passed, and waiting calls whose longest wait is over.
 void RelayReducer::refuseOverdue(Context& context)
 {
     std::vector<RequestId> due;
@@ -72,7 +76,7 @@
     }
 }
 
-/// @return what kept a call from another attempt for as long as it may wait; nothing: it had none
+/// @return what kept an overdue call from another attempt, or nothing if no attempt at it failed
 std::optional<RetryLimit> RelayReducer::waitLimit(const Call& call, const Context& context)
 {
     if (context.now >= call.deadline)
@@ -84,7 +88,8 @@
     return limit.value_or(isBudgetSpent ? RetryLimit::Budget : RetryLimit::NoServer);
 }
 
-/// Streams that have no event yet tell of an overload sooner than those that at last get one.
+/// Reports a stream without an event within the objective to the concurrency limit. This shows an overload earlier than
+/// the first event, which arrives later still.
 void RelayReducer::recordLateFirstEvent(Call& call, Context& context)
 {
     if (!isStream(call.route->kind) || call.main.eventsDelivered || call.main.isFirstEventLate
@@ -94,32 +99,34 @@
     queueOf(call).limit().answered(1, queueOf(call).running(), context.now);
 }
 
+/// Looks for stalled stages of a running call, and moves the call off them or starts a second attempt.
 void RelayReducer::checkRunning(Call& call, Context& context)
 {
     if (!isRepeatable(call.route->kind) || call.second || !call.main.pendingReroute.hops().empty())
         return;
     if (call.main.hasLostStage)
-        return; // leaveLostStages goes on with it.
+        return; // Handled by retryLostStages.
     checkSilentStages(call, context);
     if (call.second || !call.main.pendingReroute.hops().empty() || !isStalled(call, context.now))
         return;
-    const std::vector<BackendId> culprits = stalledStages(call);
-    if (!culprits.empty() && culprits.size() <= MaxSuspectedStages) {
-        abandonStages(call, culprits, context);
+    const std::vector<BackendId> stalled = stalledStages(call);
+    if (!stalled.empty() && stalled.size() <= MaxSuspectedStages) {
+        abandonStages(call, stalled, context);
         return;
     }
-    // None or many: an instance with few streams cannot tell by itself whom to leave alone.
+    // An instance with few streams cannot tell by itself which stage has stalled.
     askStalledStage(call, context);
     if (call.main.stallQueries == 1 && context.now < call.main.lastStallQueryAt + m_options.questionInterval)
-        return; // The answer may still name the one.
+        return; // The first stage may still name the stalled one.
     const Duration limit = call.hasPartialAnswer ? m_options.minStall : m_options.firstEventLimit;
-    if (culprits.empty() && context.now - call.lastProgress < limit * UnexplainedStallFactor)
+    if (stalled.empty() && context.now - call.lastProgress < limit * UnexplainedStallFactor)
         return;
-    for (const BackendId& culprit : culprits)
-        call.addAvoided(culprit);
+    for (const BackendId& stage : stalled)
+        call.addAvoided(stage);
     startSecondAttempt(call, AttemptPurpose::Stalled, context);
 }
 
+/// Asks the first stage of the main attempt which stage has stalled.
 void RelayReducer::askStalledStage(Call& call, Context& context)
 {
     Attempt& attempt = call.main;
@@ -143,6 +150,7 @@
         abandonStages(*call, { stage->entry.id }, context);
 }
 
+/// Marks stages as suspect, and moves the call off them by a reroute or else by a second attempt.
 void RelayReducer::abandonStages(Call& call, const std::vector<BackendId>& stages, Context& context)
 {
     for (const BackendId& stage : stages) {
@@ -153,8 +161,8 @@
         startSecondAttempt(call, AttemptPurpose::Stalled, context);
 }
 
-/// Tries the call elsewhere while the main attempt goes on: a server's silence is no reason to end an answer.
-/// @return whether another attempt began
+/// Starts an attempt at other servers while the main attempt continues, because a silent server may still deliver.
+/// @return whether the attempt was started
 bool RelayReducer::startSecondAttempt(Call& call, AttemptPurpose purpose, Context& context)
 {
     if (m_options.without.has(Mechanism::SecondAttempts))
@@ -172,13 +180,15 @@
     return true;
 }
 
-/// The main attempt goes on alone.
+/// Forgets the second attempt, which has ended or become the main one, and ends the hold of the main answer.
 void RelayReducer::endSecondAttempt(Call& call, Context& context)
 {
     call.second.reset();
     continueAnswer(call, context);
 }
 
+/// Orders the first stage of the main attempt to continue on another chain, which begins with the same stage.
+/// @param excluded  stages that the new chain must not contain
 RelayReducer::MoveResult RelayReducer::reroute(Call& call, const std::vector<BackendId>& excluded, Context& context)
 {
     Attempt& attempt = call.main;
@@ -197,7 +207,7 @@
         return MoveResult::Pending;
     ++attempt.rerouteCount;
     ++m_counters.rerouted;
-    // The new stages need the room from now on; the old ones are given free when the order is answered.
+    // The new stages need the capacity from now on. The old ones are released when the order is answered.
     m_fleet.book(*chain, call.tokens);
     attempt.pendingReroute = *chain;
     call.lastProgress = context.now;
@@ -227,6 +237,7 @@
         replaceOrEndAttempt(*call, context);
 }
 
+/// @return whether the main attempt has made no progress for longer than its stall limit
 bool RelayReducer::isStalled(const Call& call, TimePoint now) const
 {
     const Duration sinceProgress = now - call.lastProgress;
@@ -237,6 +248,7 @@
     return sinceProgress > std::max(m_options.minStall, scaled(call.meanEventGap, m_options.stallFactor));
 }
 
+/// @return the stages of the main attempt through which no event of any call passed since the call's last progress
 std::vector<BackendId> RelayReducer::stalledStages(const Call& call) const
 {
     if (call.main.chain.hops().empty())
--- a/src/relay/RetryLimit.h
+++ b/src/relay/RetryLimit.h
@@ -4,14 +4,14 @@
 
 namespace crocusmount::relay {
 
-/// What keeps a call from another attempt.
+/// Why a call gets no further attempt.
 enum class RetryLimit {
-    NotRepeatable, ///< it may have run, and may run once only
-    Attempts, ///< as many servers as the route allows may have run it
-    Rejections, ///< as many servers as allowed turned it away
-    Deadline,
-    Budget, ///< the service's retries are spent
-    NoServer, ///< no server with room was found in time
+    NotRepeatable, ///< the call may have run, and its route allows only one run
+    Attempts, ///< as many attempts as the route allows may have run the call
+    Rejections, ///< RelayOptions::mostRejections attempts could not connect or were rejected
+    Deadline, ///< the call's deadline has passed
+    Budget, ///< the service's retry budget is spent
+    NoServer, ///< no server with capacity was found in time
 };
 
 constexpr std::size_t RetryLimitCount = static_cast<std::size_t>(RetryLimit::NoServer) + 1; // NOLINT
--- a/src/relay/ScaledDuration.h
+++ b/src/relay/ScaledDuration.h
@@ -4,7 +4,7 @@
 
 namespace crocusmount::relay {
 
-/// @return a multiple of a span of time
+/// @return the duration times the factor, rounded towards zero
 constexpr Duration scaled(Duration duration, double factor)
 {
     return Duration(static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor));
--- a/src/relay/ServiceQueue.cpp
+++ b/src/relay/ServiceQueue.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-    /// Weight of one end in the rate of ends.
+    /// Weight of the latest end of a call in the moving average of the rate of ends.
     constexpr double EndRateWeight = 0.05;
-    /// Bounds what two ends at the same moment count.
+    /// Bounds on one sample of that rate, for calls that end at nearly the same time.
     constexpr double MaxEndsPerSecond = 200;
     constexpr double MinSecondsBetweenEnds = 1e-3;
-    /// Without a refusal for this long a shortage is over; streams last some three seconds.
+    /// A shortage is over when no call was refused for this long. Streams last about three seconds.
     constexpr Duration ShortageEndGap = std::chrono::seconds(2);
 
 } // namespace
--- a/src/relay/ServiceQueue.h
+++ b/src/relay/ServiceQueue.h
@@ -6,32 +6,35 @@
 
 namespace crocusmount::relay {
 
-/// The calls of one service on this instance: which wait, how many run, how fast they end.
+/// The queue, the concurrency limit and the throughput of one service on this instance.
 class ServiceQueue {
 public:
     FairQueue& waiting() { return m_waiting; }
     const FairQueue& waiting() const { return m_waiting; }
     ConcurrencyLimit& limit() { return m_limit; }
 
+    /// Notes that an attempt started.
     void started() { ++m_running; }
+    /// Notes that an attempt ended, and updates the rate of ends.
     void ended(TimePoint now);
+    /// @return running attempts
     double running() const { return m_running; }
-    /// @return whether one more stream may run
+    /// @return whether the concurrency limit allows one more stream
     bool hasRoom() const { return m_running < m_limit.value(); }
-    /// @return the expected wait of a call that comes now
+    /// @return how long a call that arrives now is expected to wait; zero before the first end of a call
     Duration expectedWait() const;
 
-    /// Notes that a call was refused for want of room.
-    /// @return how long the shortage has lasted: refusals without a longer pause between them
+    /// Notes that a call was refused for lack of capacity.
+    /// @return how long the shortage has lasted; a long enough pause between two refusals starts a new shortage
     Duration refused(TimePoint now);
 
 private:
     FairQueue m_waiting;
     ConcurrencyLimit m_limit;
-    double m_running = 0;
-    double m_endsPerSecond = 0; ///< moving average; zero before the first end
+    double m_running = 0; ///< attempts, counted as a floating-point number like the limit
+    double m_endsPerSecond = 0; ///< moving average; zero before the first end of a call
     TimePoint m_lastEnd;
-    TimePoint m_shortageSince; ///< first refusal of the present or last shortage
+    TimePoint m_shortageSince; ///< first refusal of the current or latest shortage
     TimePoint m_lastRefusal;
 };
 
