--- a/src/relay/RelayReducer.cpp
+++ b/src/relay/RelayReducer.cpp
@@ -79,8 +79,7 @@
     return attempt == m_attempts.end() ? nullptr : &m_calls.at(attempt->second);
 }
 
-// ---- Configuration and load
-// -------------------------------------------------------------------------------------------------
+// ---- Configuration and load ----------------------------------------------------------------------------------------
 
 void RelayReducer::on(const event::ConfigurationAccepted& accepted, Context& context)
 {
@@ -104,8 +103,8 @@
 
 void RelayReducer::on(const event::LoadsReported& reported, Context& context)
 {
-    const bool used = !m_options.without.has(Mechanism::LoadExchange);
-    m_fleet.setOthersLoad(used ? reported.loads : std::nullopt, context.now);
+    const bool isEnabled = !m_options.without.has(Mechanism::LoadExchange);
+    m_fleet.setOthersLoad(isEnabled ? reported.loads : std::nullopt, context.now);
     checkAvoidedEngines(context);
 }
 
@@ -115,8 +114,7 @@
         m_drainRequestedAt = context.now;
 }
 
-// ---- Calls and attempts
-// -------------------------------------------------------------------------------------------------
+// ---- Calls and attempts --------------------------------------------------------------------------------------------
 
 /// Resolves route, workspace, rank and service of a call.
 /// @return why the call is refused, or nothing if it is admitted
--- a/src/relay/RelayReducerChecks.cpp
+++ b/src/relay/RelayReducerChecks.cpp
@@ -28,11 +28,11 @@
     constexpr double SlownessRecheckThreshold = 1.5;
     constexpr Duration SlowEngineCheckInterval = std::chrono::milliseconds(1000);
     /// An engine is assumed to be alive for this long after the last event through it.
-    constexpr Duration GroupCheckSilence = std::chrono::milliseconds(100);
+    constexpr Duration AssumedAliveAfterEvent = std::chrono::milliseconds(100);
     /// How long after the failure of one engine others are suspected of having failed with it. By the end of this time
-    /// every failed engine has been silent to its own calls, and all instances have been told.
+    /// the calls through each failed engine have noticed its silence, and all instances have been told.
     constexpr Duration GroupFailureWindow = std::chrono::milliseconds(500);
-    /// Between a check of an engine and an urgent one. Engines answer within a few milliseconds.
+    /// Shortest time between any check of an engine and an urgent one. Engines answer within a few milliseconds.
     constexpr Duration UrgentCheckInterval = std::chrono::milliseconds(100);
     /// Longest time that a call waits for a stage to answer a check. A stage that has not answered by then has missed
     /// it.
@@ -112,10 +112,10 @@
 {
     for (const BackendId& id : m_fleet.checkCandidates(context.now)) {
         FleetServer& server = *m_fleet.find(id);
-        const bool dead = server.isDead(context.now) && context.now + DeadRecheckLead >= server.deadUntil;
-        const bool slow
+        const bool isDeadCheckDue = server.isDead(context.now) && context.now + DeadRecheckLead >= server.deadUntil;
+        const bool isSlowCheckDue
             = server.slowness > SlownessRecheckThreshold && context.now >= server.lastCheck + SlowEngineCheckInterval;
-        if (dead || slow)
+        if (isDeadCheckDue || isSlowCheckDue)
             checkEngine(server, context);
     }
 }
@@ -232,9 +232,9 @@
 /// Engines that run calls of this instance are checked at once, and others only when a call would go there. If every
 /// instance checked all engines, healthy ones would be busy with connections and be taken for dead.
 ///
-/// @param isCertain  whether the failed engine is known to be dead. An engine that only did not answer may be
-/// overloaded,
-///                   and does not make calls wait for checks of other engines.
+/// @param isCertain  whether the failed engine is known to be dead. If it only did not answer, it may be overloaded,
+/// and
+///                   calls do not wait for checks of other engines.
 void RelayReducer::checkEnginesAfterFailure(bool isCertain, Context& context)
 {
     if (isCertain)
@@ -248,7 +248,7 @@
 /// Checks an engine urgently, unless an event passed through it recently or it is already known to be dead.
 void RelayReducer::checkForGroupFailure(FleetServer& server, Context& context)
 {
-    if (server.lastProgress + GroupCheckSilence > context.now || server.isDead(context.now))
+    if (server.lastProgress + AssumedAliveAfterEvent > context.now || server.isDead(context.now))
         return;
     server.sweptAt = context.now;
     checkUrgently(server, context);
@@ -259,7 +259,7 @@
 bool RelayReducer::awaitsCheck(const Chain& chain, Context& context)
 {
     const bool isWithinWindow = m_lastCertainFailureAt && context.now < *m_lastCertainFailureAt + GroupFailureWindow;
-    bool awaits = false;
+    bool isCheckPending = false;
     for (const Hop& hop : chain.hops()) {
         FleetServer* server = m_fleet.find(hop.backend);
         if (!server)
@@ -268,9 +268,9 @@
             = std::max(server->lastCheck, server->listedAt) >= m_lastCertainFailureAt.value_or(context.now);
         if (isWithinWindow && !isKnownSinceFailure)
             checkForGroupFailure(*server, context);
-        awaits = awaits || (server->beingChecked && context.now < server->sweptAt + MaxCheckWait);
+        isCheckPending = isCheckPending || (server->beingChecked && context.now < server->sweptAt + MaxCheckWait);
     }
-    return awaits;
+    return isCheckPending;
 }
 
 /// Takes an engine for dead if another instance found it dead and a stream of this instance is silent there. Without
@@ -292,6 +292,7 @@
     }
 }
 
+/// @return whether a running stream of this instance uses the engine and is silent
 bool RelayReducer::hasSilentStreamThrough(const BackendId& engine, TimePoint now) const
 {
     return std::any_of(m_calls.begin(), m_calls.end(), [&](const auto& each) {
@@ -305,8 +306,10 @@
 void RelayReducer::abandonDeadEngine(const BackendId& engine, Context& context)
 {
     for (auto& [id, call] : m_calls) {
-        const bool runs = call.state == CallState::Running && !call.second && call.main.pendingReroute.hops().empty();
-        if (runs && isRepeatable(call.route->kind) && call.main.chain.contains(engine) && isSilent(call, context.now))
+        const bool isMovable
+            = call.state == CallState::Running && !call.second && call.main.pendingReroute.hops().empty();
+        if (isMovable && isRepeatable(call.route->kind) && call.main.chain.contains(engine)
+            && isSilent(call, context.now))
             abandonStages(call, { engine }, context);
     }
 }
--- a/src/relay/RelayReducerCrashes.cpp
+++ b/src/relay/RelayReducerCrashes.cpp
@@ -16,8 +16,8 @@
     constexpr Duration HoldCheckInterval = std::chrono::milliseconds(50);
     /// Between two probes of a server if the first did not show whether it is alive.
     constexpr Duration ReprobeInterval = std::chrono::milliseconds(400);
-    /// Longest time that a call is held. By then each server end has been told apart from a group failure, or it cannot
-    /// be told apart at all.
+    /// Longest time that a call is held. By then it is known whether each server end belongs to a group failure, or it
+    /// cannot be known.
     constexpr Duration MaxHold = std::chrono::milliseconds(1000);
 
     /// @return how strongly the end of a server suggests that an attempt there caused it
@@ -235,7 +235,7 @@
         context.effects.emplace_back(effect::ShareSoundRequest { call.identity });
 }
 
-/// Another attempt at a request that crashes servers would end one more of them.
+/// Further attempts wait while this holds, because the next server could be one crash too many.
 /// @return whether server ends that are not settled yet may be enough to quarantine the request
 bool RelayReducer::awaitsCrashVerdict(const Call& call) const
 {
--- a/src/relay/RelayReducerPlacing.cpp
+++ b/src/relay/RelayReducerPlacing.cpp
@@ -51,8 +51,8 @@
 bool RelayReducer::place(Call& call, Context& context)
 {
     // The concurrency limit does not apply to partly delivered streams.
-    const bool limited = !m_options.without.has(Mechanism::StreamLimit);
-    if (limited && isStream(call.route->kind) && !call.hasPartialAnswer && !queueOf(call).hasRoom())
+    const bool isLimited = !m_options.without.has(Mechanism::StreamLimit);
+    if (isLimited && isStream(call.route->kind) && !call.hasPartialAnswer && !queueOf(call).hasRoom())
         return false;
     const AttemptPurpose purpose = call.hasFailedAttempt() ? AttemptPurpose::Retry : AttemptPurpose::First;
     auto attempt = startAttempt(call, purpose, context);
@@ -106,9 +106,9 @@
 /// @return when the caller should retry after a refusal for a reason other than NoCapacity; zero if a retry is useless
 Duration RelayReducer::retryAfterFor(Reason reason, const Context& context) const
 {
-    const auto between = [&](std::int64_t leastMs, std::int64_t mostMs) {
-        const double part = spread(context.entropy, static_cast<std::uint64_t>(reason));
-        const double ms = static_cast<double>(leastMs) + part * static_cast<double>(mostMs - leastMs);
+    const auto between = [&](std::int64_t minMs, std::int64_t maxMs) {
+        const double fraction = spread(context.entropy, static_cast<std::uint64_t>(reason));
+        const double ms = static_cast<double>(minMs) + fraction * static_cast<double>(maxMs - minMs);
         return Duration(static_cast<std::int64_t>(ms * 1000));
     };
     switch (reason) {
@@ -131,8 +131,8 @@
     const Duration shortage = queue.refused(context.now);
     const Duration lasted = m_options.without.has(Mechanism::ComeBackTime) ? Duration(0) : shortage;
     const Duration expected = std::clamp(lasted, MinExpectedShortage, MaxExpectedShortage);
-    const double part = spread(context.entropy, static_cast<std::uint64_t>(Reason::NoCapacity));
-    return scaled(expected, MinRetryAfterFactor + part * (MaxRetryAfterFactor - MinRetryAfterFactor));
+    const double fraction = spread(context.entropy, static_cast<std::uint64_t>(Reason::NoCapacity));
+    return scaled(expected, MinRetryAfterFactor + fraction * (MaxRetryAfterFactor - MinRetryAfterFactor));
 }
 
 /// @return this instance's share of the retries that all instances may make beyond the retry ratio
@@ -159,8 +159,8 @@
 {
     return std::any_of(chain.hops().begin(), chain.hops().end(), [&](const Hop& hop) {
         const auto server = m_fleet.servers().find(hop.backend);
-        const bool refusedIt = std::find(call.avoid.begin(), call.avoid.end(), hop.backend) != call.avoid.end();
-        if (!refusedIt || server == m_fleet.servers().end())
+        const bool isAvoided = std::find(call.avoid.begin(), call.avoid.end(), hop.backend) != call.avoid.end();
+        if (!isAvoided || server == m_fleet.servers().end())
             return false;
         const TimePoint until = server->second.avoidUntil;
         return now
--- a/src/relay/RelayReducerServers.cpp
+++ b/src/relay/RelayReducerServers.cpp
@@ -162,7 +162,7 @@
 }
 
 /// Handles a running call that uses a server whose process has ended: replaces the stage by a reroute, continues with
-/// another attempt, or ends the call with its true reason.
+/// another attempt, or ends the call with the actual cause.
 void RelayReducer::handleLostStage(Call& call, const BackendId& lost, Context& context)
 {
     if (call.second && call.second->usesServer(lost)) {
@@ -216,11 +216,11 @@
         return;
     }
     call.main.nextReplacementAt = context.now + LostStageRetryInterval;
-    const std::uint32_t counted = hasLostServer(call.main) ? 0 : 1;
+    const std::uint32_t countedForMain = hasLostServer(call.main) ? 0 : 1;
     // The partial answer shows that this attempt has run, although it has not ended.
     if (!isRepeatable(call.route->kind))
         return;
-    if (awaitsCrashVerdict(call) || countedAttempts(call) + counted >= call.route->maxAttempts
+    if (awaitsCrashVerdict(call) || countedAttempts(call) + countedForMain >= call.route->maxAttempts
         || retryLimit(call, context) || !budgetOf(call.service).hasOne())
         return;
     auto next = startAttempt(call, AttemptPurpose::LostStage, context);
--- a/tests/RelayHarness.cpp
+++ b/tests/RelayHarness.cpp
@@ -96,7 +96,7 @@
     spec.patience = std::chrono::seconds(20);
     spec.promptTokens = 100;
     spec.maxAnswerTokens = 50;
-    // Each call is another request than those before it.
+    // Each call has content of its own, so that none counts as the repeat of another one.
     const std::uint64_t number = id.value();
     std::memcpy(spec.content.bytes.data(), &number, sizeof(number));
     send(event::CallArrived { id, spec });
--- a/tests/RelayHarness.h
+++ b/tests/RelayHarness.h
@@ -8,9 +8,14 @@
 
 namespace crocusmount::relay {
 
-/// One relay reducer on a virtual clock, with a model of 8 layers on engines "a" (0-4), "b" (4-8), "c" (0-4) and "d"
-/// (4-8), and a plain service on "x" and "y". Routes: "/draft/" resumable stream, "/once/" stream that runs once,
-/// "/look/" idempotent, "/book/" not idempotent; two attempts each, key "key" of workspace "w".
+/// Runs a relay reducer on a virtual clock. It has a model of 8 layers on engines "a" (layers 0-4), "b" (4-8), "c"
+/// (0-4) and "d" (4-8), and a plain service on servers "x" and "y".
+///
+/// Each route allows two attempts and accepts the key "key" of workspace "w":
+/// - "/draft/": resumable stream
+/// - "/once/": stream that must not run twice
+/// - "/look/": idempotent call to the plain service
+/// - "/book/": call to the plain service that is not idempotent
 class RelayHarness {
 public:
     explicit RelayHarness(RelayOptions = {});
@@ -19,16 +24,23 @@
     static RegisteredServer engine(const std::string& id, std::uint32_t begin, std::uint32_t end);
     static RegisteredServer plain(const std::string& id);
 
+    /// Sends an event at the current time.
+    /// @return its effects
     const RelayEffects& send(RelayEventBody);
+    /// Advances the clock and sends a tick.
     void tick(Duration);
-    /// @return the call's id; its effects are the last ones
+    /// Sends a new call, which repeats no earlier request.
+    /// @return the call's id; effects() then holds the effects of its arrival
     RequestId call(const std::string& path, const std::string& key = "key");
-    /// Sends a call, its attempt's bytes and some events.
+    /// Sends a call that must be started at once, then the bytes of its attempt and some events.
+    /// @param events  number of events, which get the ids 1, 2, ...
     /// @return the attempt
     effect::StartAttempt running(const std::string& path, std::uint64_t events = 0);
+    /// Delivers events with the ids first to last.
+    /// @param gap  time that the clock advances before each event
     void events(AttemptId, std::uint64_t first, std::uint64_t last, Duration gap = std::chrono::milliseconds(20));
 
-    /// @return the last effect of a type since the last event or tick
+    /// @return the last effect of a type among the effects of the latest event or tick
     template <typename T>
     std::optional<T> last() const
     {
@@ -40,7 +52,7 @@
         return found;
     }
 
-    /// @return all effects of the last event or tick
+    /// @return all effects of the latest event or tick
     const RelayEffects& effects() const { return m_effects; }
     RelayReducer& reducer() { return m_reducer; }
     TimePoint now() const { return m_now; }
--- a/tests/RelayReducerTest.cpp
+++ b/tests/RelayReducerTest.cpp
@@ -16,7 +16,7 @@
         std::optional<Reason> refusal;
     } cases[] = {
         { "/draft/1", "key", std::nullopt },
-        { "/draft", "key", Reason::UnknownRoute }, // A prefix ends with its slash.
+        { "/draft", "key", Reason::UnknownRoute }, // The prefix includes the final slash.
         { "/none/1", "key", Reason::UnknownRoute },
         { "/draft/1", "other", Reason::UnknownKey },
         { "/draft/1", "", Reason::UnknownKey },
@@ -80,8 +80,10 @@
     }
 }
 
-// skanas-profili-grown trouble-3: engines left while the store was away, and turned away a third of the calls for 8 s.
-TEST(RelayReducer, AStageThatKeepsTurningCallsAwayIsLeftAloneForLonger)
+// Guards against calls that keep going to a stage that rejects them. Seen in skanas-profili-grown trouble-3: engines
+// left while the store did not answer, so that their entries still listed them, and rejected a third of the calls for 8
+// s.
+TEST(RelayReducer, AStageThatKeepsRejectingCallsIsAvoidedForLonger)
 {
     RelayHarness harness;
     int rejected = 0;
@@ -99,12 +101,12 @@
         }
         harness.tick(milliseconds(20));
     }
-    // 8 s: pauses of 250 ms alone would let 16 and more calls run into it.
+    // The loop lasts 8 s. With a constant pause of 250 ms, 16 or more calls would be rejected.
     CHECK_TRUE(rejected >= 1);
     CHECK_TRUE(rejected <= 7);
 }
 
-TEST(RelayReducer, TheStageThatAnAnswerNamesIsAvoidedNotTheFirst)
+TEST(RelayReducer, ARejectionCountsAgainstTheNamedStageNotTheFirst)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1");
@@ -116,12 +118,12 @@
     CHECK_TRUE(harness.reducer().fleet().servers().at(start.server).rejectionsInRow == 0);
 }
 
-// The burst was taken from the count of instances at the first call and kept for the life of the process.
-TEST(RelayReducer, TheShareOfRetriesFollowsTheCountOfInstances)
+// Guards against a retry burst that is computed from the instance count at the first call and never updated.
+TEST(RelayReducer, TheRetryBurstFollowsTheInstanceCount)
 {
     const struct {
-        std::uint32_t first;
-        std::uint32_t then;
+        std::uint32_t instancesAtFirstCall;
+        std::uint32_t instancesLater;
         std::uint64_t retries;
     } cases[] = { { 1, 20, 2 }, { 20, 20, 2 }, { 1, 1, 10 } };
     for (const auto& each : cases) {
@@ -129,9 +131,9 @@
         options.retryRatio = 0;
         options.retrySlack = 40;
         RelayHarness harness(options);
-        harness.send(relay::event::InstancesCounted { each.first });
+        harness.send(relay::event::InstancesCounted { each.instancesAtFirstCall });
         harness.running("/look/1");
-        harness.send(relay::event::InstancesCounted { each.then });
+        harness.send(relay::event::InstancesCounted { each.instancesLater });
         std::uint64_t retries = 0;
         for (int i = 0; i < 10; ++i) {
             const auto start = harness.running("/look/1");
@@ -145,8 +147,8 @@
     }
 }
 
-// What may follow the end of an attempt whose bytes were sent, by kind of call.
-TEST(RelayReducer, FailedAttemptsAreTriedAgainOnlyWhereThatIsSafe)
+// Checks, by kind of call, what may follow the end of an attempt whose bytes were sent.
+TEST(RelayReducer, FailedAttemptsAreRetriedOnlyWhereThatIsSafe)
 {
     enum class Next {
         Retry,
@@ -173,15 +175,15 @@
         RelayHarness harness;
         const auto start = harness.running(each.path);
         harness.send(relay::event::AttemptEnded { start.attempt, each.result, 503, "" });
-        const auto again = harness.last<relay::effect::StartAttempt>();
+        const auto retry = harness.last<relay::effect::StartAttempt>();
         const auto refusal = harness.last<relay::effect::Refuse>();
-        CHECK_EQUAL_TEXT(each.next == Next::Retry, again.has_value(), each.path);
+        CHECK_EQUAL_TEXT(each.next == Next::Retry, retry.has_value(), each.path);
         CHECK_EQUAL_TEXT(each.next == Next::DeliverFailure,
             harness.last<relay::effect::DeliverServerFailure>().has_value(), each.path);
         if (each.next == Next::RefuseMayHaveRun)
             CHECK_TRUE_TEXT(refusal && refusal->run == RunState::MayHaveRun, each.path);
-        if (again)
-            CHECK_TRUE_TEXT(again->server != start.server, each.path);
+        if (retry)
+            CHECK_TRUE_TEXT(retry->server != start.server, each.path);
     }
 }
 
@@ -208,24 +210,24 @@
     for (int i = 0; i < 200; ++i) {
         const auto start = harness.running("/look/1");
         harness.send(relay::event::AttemptEnded { start.attempt, AttemptResult::Broken, 0, "" });
-        if (const auto again = harness.last<relay::effect::StartAttempt>()) {
+        if (const auto retry = harness.last<relay::effect::StartAttempt>()) {
             ++retries;
-            harness.send(relay::event::AttemptEnded { again->attempt, AttemptResult::Completed, 200, "" });
+            harness.send(relay::event::AttemptEnded { retry->attempt, AttemptResult::Completed, 200, "" });
         }
     }
     CHECK_TRUE(retries >= 20);
     CHECK_TRUE(retries <= 20 / 4 + 200 / 10 + 1);
 }
 
-TEST(RelayReducer, AResumedStreamGoesOnAfterTheLastDeliveredEvent)
+TEST(RelayReducer, AResumedStreamContinuesAfterTheLastDeliveredEvent)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 5);
     harness.send(relay::event::AttemptEnded { start.attempt, AttemptResult::Broken, 200, "" });
-    const auto again = harness.last<relay::effect::StartAttempt>();
-    CHECK_TRUE(again.has_value());
-    CHECK_EQUAL(5U, again->resumeAfter.value_or(0));
-    CHECK_TRUE(again->server != start.server);
+    const auto retry = harness.last<relay::effect::StartAttempt>();
+    CHECK_TRUE(retry.has_value());
+    CHECK_EQUAL(5U, retry->resumeAfter.value_or(0));
+    CHECK_TRUE(retry->server != start.server);
 }
 
 TEST(RelayReducer, AStreamThatRunsOnceIsBrokenOffNotResumed)
@@ -237,38 +239,38 @@
     CHECK_TRUE(harness.last<relay::effect::BreakAnswer>().has_value());
 }
 
-// The first stage stands still: no reroute can help, so a second attempt runs beside the first.
-TEST(RelayReducer, AStalledAttemptIsKeptUntilAnotherDoesBetter)
+// The first stage has stalled. A reroute cannot replace it, so a second attempt runs beside the first.
+TEST(RelayReducer, AStalledAttemptIsKeptUntilAnotherDelivers)
 {
     const struct {
         const char* name;
-        bool oldGoesOn;
-    } cases[] = { { "the old one goes on", true }, { "the new one goes on", false } };
+        bool firstDelivers;
+    } cases[] = { { "the first attempt delivers", true }, { "the second attempt delivers", false } };
     for (const auto& each : cases) {
         RelayHarness harness;
-        const auto old = harness.running("/draft/1", 5);
+        const auto first = harness.running("/draft/1", 5);
         harness.tick(seconds(1));
         CHECK_FALSE_TEXT(harness.last<relay::effect::CancelAttempt>().has_value(), each.name);
         const auto second = harness.last<relay::effect::StartAttempt>();
         CHECK_TRUE_TEXT(second.has_value(), each.name);
         harness.send(relay::event::AttemptSent { second->attempt });
-        harness.events(each.oldGoesOn ? old.attempt : second->attempt, 6, 6);
+        harness.events(each.firstDelivers ? first.attempt : second->attempt, 6, 6);
         const auto cancelled = harness.last<relay::effect::CancelAttempt>();
         CHECK_TRUE_TEXT(cancelled.has_value(), each.name);
-        CHECK_TRUE_TEXT(cancelled->attempt == (each.oldGoesOn ? second->attempt : old.attempt), each.name);
+        CHECK_TRUE_TEXT(cancelled->attempt == (each.firstDelivers ? second->attempt : first.attempt), each.name);
     }
 }
 
-TEST(RelayReducer, AStalledAttemptOutlivesARefusedSecondOne)
+TEST(RelayReducer, AStalledAttemptSurvivesARejectedSecondOne)
 {
     RelayHarness harness;
-    const auto old = harness.running("/draft/1", 5);
+    const auto first = harness.running("/draft/1", 5);
     harness.tick(seconds(1));
     const auto second = harness.last<relay::effect::StartAttempt>();
     harness.send(relay::event::AttemptEnded { second->attempt, AttemptResult::NotRun, 503, "" });
     CHECK_FALSE(harness.last<relay::effect::CancelAttempt>().has_value());
     CHECK_FALSE(harness.last<relay::effect::BreakAnswer>().has_value());
-    harness.events(old.attempt, 6, 6);
+    harness.events(first.attempt, 6, 6);
     CHECK_EQUAL(1U, harness.reducer().openCalls());
 }
 
@@ -288,7 +290,7 @@
     CHECK_TRUE(order->chain.hops().front() == start.chain.hops().front());
 }
 
-TEST(RelayReducer, NoNewWorkGoesToALeavingServer)
+TEST(RelayReducer, ALeavingServerReceivesNoNewCalls)
 {
     RelayHarness harness;
     RegisteredServer leaving = RelayHarness::plain("x");
@@ -301,7 +303,7 @@
     CHECK_FALSE(harness.last<relay::effect::StartAttempt>().has_value());
 }
 
-TEST(RelayReducer, ACallerThatLeavesEndsTheAttempt)
+TEST(RelayReducer, TheAttemptIsCancelledWhenTheCallerLeaves)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 2);
@@ -323,7 +325,7 @@
     CHECK_TRUE(refusal->run == RunState::MayHaveRun);
 }
 
-TEST(RelayReducer, WaitingEndsWithTheObjectiveAndNotAtTheDeadline)
+TEST(RelayReducer, WaitingEndsAfterPartOfTheObjectiveNotAtTheDeadline)
 {
     RelayHarness harness;
     for (const char* id : { "x", "y" })
@@ -336,8 +338,9 @@
     CHECK_TRUE(refusal->retryAfter > Duration(0));
 }
 
-// Hunt, skanas-profili mix 671878431837: a stream taken seven seconds after the order to leave was cut at the end.
-TEST(RelayReducer, LongAfterTheOrderToLeaveCallsAreRefused)
+// Guards against streams that are cut when the process ends. Seen in skanas-profili mix, seed 671878431837: a stream
+// was accepted seven seconds after the drain request.
+TEST(RelayReducer, CallsAreRefusedLongAfterADrainRequest)
 {
     RelayHarness harness;
     harness.send(relay::event::DrainRequested {});
@@ -350,7 +353,8 @@
     CHECK_TRUE(refusal && refusal->reason == Reason::Draining && refusal->run == RunState::NotRun);
 }
 
-// skanas-profili scale-2: an engine that was moved waited 14 s for the streams through its old layers.
+// Guards against engines that wait long for the streams through their old layers. Seen in skanas-profili scale-2: an
+// engine that was to load other layers waited 14 s.
 TEST(RelayReducer, StreamsAreMovedOffAnEngineThatGivesUpItsLayers)
 {
     RelayHarness harness;
@@ -363,7 +367,7 @@
     CHECK_FALSE(order->chain.contains(last.backend));
 }
 
-TEST(RelayReducer, AStreamWhoseFirstStageLeavesGoesOnElsewhereBeforeItIsCut)
+TEST(RelayReducer, AStreamContinuesElsewhereIfItsFirstStageGivesUpLayers)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 2);
@@ -377,15 +381,16 @@
     CHECK_FALSE(harness.last<relay::effect::CancelAttempt>().has_value());
 }
 
-// All instances lost power and started together while the store was still away: calls that had spent their retry on the
-// crash were refused after 250 ms, 2,228 of them before the first instance had read its configuration.
-TEST(RelayReducer, ACallThatComesBeforeTheFirstConfigurationWaitsForPartOfItsPatience)
+// Guards against refusals by instances that have just started. All instances lost power and restarted together while
+// the store did not answer yet. Callers that had spent their retry on the crash were refused after 250 ms, 2,228 of
+// them before the first instance had read its configuration.
+TEST(RelayReducer, ACallBeforeTheFirstConfigurationWaitsForPartOfItsTimeout)
 {
     const struct {
         const char* name;
         int patienceMs;
         int configuredAfterMs;
-        bool served;
+        bool isServed;
     } cases[] = {
         { "the store answers at once", 20000, 5, true },
         { "the store is back after a second", 20000, 1300, true },
@@ -410,13 +415,13 @@
         for (const TimePoint end = now + milliseconds(each.configuredAfterMs); now < end; now += milliseconds(5))
             reduce(relay::event::Tick {});
         reduce(relay::event::ConfigurationAccepted { RouteTable::make(RelayHarness::configuration()) });
-        // The list of servers comes with the configuration, after it.
+        // The servers are registered right after the configuration.
         reduce(relay::event::ServerRegistered { RelayHarness::plain("x") });
         now += milliseconds(20);
         reduce(relay::event::Tick {});
         CHECK_FALSE_TEXT(effects.empty(), each.name);
         const auto* start = std::get_if<relay::effect::StartAttempt>(&effects.at(0));
-        CHECK_EQUAL_TEXT(each.served, start != nullptr, each.name);
+        CHECK_EQUAL_TEXT(each.isServed, start != nullptr, each.name);
         if (!start) {
             const auto& refusal = std::get<relay::effect::Refuse>(effects.at(0));
             CHECK_TRUE_TEXT(refusal.reason == Reason::NotConfigured, each.name);
@@ -424,21 +429,22 @@
             CHECK_TRUE_TEXT(refusal.retryAfter.count() > 0, each.name);
             continue;
         }
-        // What it waited is gone from the time that the server gets.
+        // The wait counts against the time that the server gets.
         if (each.patienceMs)
             CHECK_TRUE_TEXT(start->remaining <= milliseconds(each.patienceMs - each.configuredAfterMs - 20), each.name);
     }
 }
 
-// Incident 23f4 of odpoklic-lj: an engine that came back without its layers turned 146 calls away in two seconds.
+// Guards against calls that keep going to a stage without the layers of its entry. Seen in incident 23f4 of
+// odpoklic-lj: an engine that restarted without its layers rejected 146 calls in two seconds.
 TEST(RelayReducer, AStageThatDoesNotHoldItsPartIsLeftAlone)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1");
     const Hop stage = start.chain.hops().back();
     harness.send(relay::event::AttemptEnded { start.attempt, AttemptResult::NotRun, 421, stage.address });
-    const auto again = *harness.last<relay::effect::StartAttempt>();
-    harness.send(relay::event::AttemptEnded { again.attempt, AttemptResult::Completed, 200, "" });
+    const auto retry = *harness.last<relay::effect::StartAttempt>();
+    harness.send(relay::event::AttemptEnded { retry.attempt, AttemptResult::Completed, 200, "" });
     for (int i = 0; i < 20; ++i) {
         harness.tick(milliseconds(100));
         const auto next = harness.running("/draft/1");
@@ -447,8 +453,9 @@
     }
 }
 
-// Grown sites: an instance with few streams took all stages of a stalled one for dead and left sound engines alone.
-TEST(RelayReducer, AStageIsTakenForDeadOnlyWhereTheFirstStageNamesIt)
+// Guards against avoiding healthy engines. Seen on sites that had grown: an instance with few streams took all stages
+// of a stalled stream for dead.
+TEST(RelayReducer, AStalledStageIsAvoidedOnlyIfTheFirstStageNamesIt)
 {
     RelayHarness harness;
     for (const char* id : { "b", "d" })
@@ -472,7 +479,7 @@
         CHECK_EQUAL_TEXT(id == last.backend, harness.now() < server.avoidUntil, id.value().c_str());
 }
 
-TEST(RelayReducer, WhereNoStageIsNamedASecondAttemptRuns)
+TEST(RelayReducer, ASecondAttemptStartsIfNoStageIsNamed)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1", 5);
@@ -485,13 +492,14 @@
     CHECK_TRUE(harness.last<relay::effect::StartAttempt>().has_value());
 }
 
-// Streams that are moved take their KV cache along, which costs as much as a new one; most end by themselves.
+// Moving a stream costs as much as a new one, because its KV cache moves along. Most streams end before the delay is
+// over.
 TEST(RelayReducer, AStreamIsMovedOffALeavingStageOnlyAfterTheDelay)
 {
     const struct {
         int delayMs;
         int afterMs;
-        bool moved;
+        bool isMoved;
     } cases[] = { { 1000, 900, false }, { 1000, 1100, true }, { 2000, 1900, false }, { 2000, 2100, true } };
     for (const auto& each : cases) {
         RelayOptions options;
@@ -502,13 +510,13 @@
         RegisteredServer leaving = harness.reducer().fleet().servers().at(last.backend).entry;
         leaving.leaving = true;
         harness.send(relay::event::ServerRegistered { leaving });
-        bool moved = false;
+        bool wasMoved = false;
         std::uint64_t event = 11;
         for (int ms = 0; ms < each.afterMs; ms += 20, ++event) {
             harness.events(start.attempt, event, event); // Each takes 20 ms.
             harness.tick(milliseconds(0));
-            moved = moved || harness.last<relay::effect::RerouteAttempt>().has_value();
+            wasMoved = wasMoved || harness.last<relay::effect::RerouteAttempt>().has_value();
         }
-        CHECK_EQUAL(each.moved, moved);
+        CHECK_EQUAL(each.isMoved, wasMoved);
     }
 }
