--- a/src/relay/Call.h
+++ b/src/relay/Call.h
@@ -22,16 +22,15 @@
     AttemptId id;
     BackendId server; ///< the first stage of a chain, or the server of a plain service
     Chain chain; ///< stages that run the call; empty for a plain service
-    Chain pendingReroute; ///< chain ordered by a reroute that the first stage has not answered; empty if there is none
+    Chain pendingReroute; ///< chain of a reroute that the first stage has not answered yet; empty if there is none
     std::uint32_t rerouteCount = 0; ///< reroutes ordered
     std::uint32_t stallQueries = 0; ///< times the first stage was asked which stage has stalled
     TimePoint lastStallQueryAt;
     std::uint32_t eventsDelivered = 0; ///< events of this attempt that the caller received
     bool wasSent = false; ///< bytes of the call were sent, so the server may have run it
-    std::optional<TimePoint>
-        answerBegunAt; ///< when a success header arrived, which shows that the server runs the call
+    std::optional<TimePoint> answerBegunAt; ///< when a success header arrived, so the server had begun to run the call
     bool isFirstEventLate = false; ///< no event arrived within the route's objective
-    bool hasLostStage = false; ///< a stage has ended; only a reroute lets the attempt continue
+    bool hasLostStage = false; ///< a stage has ended, and only a reroute lets the attempt continue
     bool hasServerEnded = false; ///< the process of `server` that accepted the attempt has ended
     TimePoint nextReplacementAt; ///< earliest time of the next search for a replacement of the lost stage
     TimePoint nextMoveAt; ///< earliest time of the next search for a way off a leaving stage
@@ -67,21 +66,22 @@
     TimePoint nextResumeAt; ///< earliest time of the next search for a server to resume at
     bool waitsForRetryBudget = false; ///< the last such search found the service's retry budget empty
     TimePoint lastDeliveredAt; ///< when the caller received the last event
-    bool mayHaveRun = false; ///< a server may have run the call
+    bool mayHaveRun = false; ///< an ended attempt may have run the call
     bool hasPartialAnswer = false; ///< the caller received at least one event
     std::uint64_t lastEventId = 0; ///< id of the last event that the caller has, here or from an earlier call
-    bool hasRunSoundly = false; ///< ran longer than a request that crashes its server, see SoundRun
+    bool hasRunSoundly = false; ///< ran to its end, or longer than a request that crashes its server, see SoundRun
     std::optional<TimePoint> nextHoldCheckAt; ///< set while the call is kept out of the queue for a crash verdict
     std::optional<TimePoint> holdDeadline; ///< the call is queued at this time even without a verdict
     std::vector<BackendId> avoid; ///< servers that failed or rejected this call, or stalled under it
 
-    /// Such calls do not feed the concurrency limit: their delay reflects the failure, not the load.
+    /// The delay of such a call reflects the failure, not the load, so the concurrency limit ignores it.
     /// @return whether a server failed this call before
     bool hasAvoidedServers() const { return !avoid.empty(); }
 
     /// @param wanted  id of a running attempt of this call
     Attempt& attempt(AttemptId wanted) { return main.id == wanted ? main : *second; }
 
+    /// @return whether an attempt was rejected, or ended after it may have run the call
     bool hasFailedAttempt() const { return !mayHaveRunOn.empty() || rejections; }
 
     void addAvoided(const BackendId& id)
--- a/src/relay/RelayReducer.cpp
+++ b/src/relay/RelayReducer.cpp
@@ -73,6 +73,7 @@
     return waiting;
 }
 
+/// @return the call of a running attempt, or null if the attempt is unknown or has ended
 Call* RelayReducer::findByAttempt(AttemptId id)
 {
     const auto attempt = m_attempts.find(id);
--- a/src/relay/RelayReducerPlacing.cpp
+++ b/src/relay/RelayReducerPlacing.cpp
@@ -147,14 +147,16 @@
     return std::min(1.0, age / std::chrono::duration<double>(m_options.retryRipening).count());
 }
 
+/// @return the retry budget of a service, which is created on first use
 RetryBudget& RelayReducer::budgetOf(const ServiceId& service)
 {
     return m_budgets.try_emplace(service, m_options.retryRatio, retryBurst(), retryBurstShare()).first->second;
 }
 
-/// Keeps a call from a stage that rejected it until the stage's avoidance time is over. Otherwise attempts at the only
-/// engine left would spend retries for nothing. A partly delivered answer waits less, because its caller gives up
-/// within seconds.
+/// Keeps a call from a stage that failed or rejected it until the stage's avoidance time is over. Otherwise attempts at
+/// the only engine left would spend retries for nothing. A partly delivered answer waits less, because its caller gives
+/// up within seconds.
+/// @return whether a stage of the chain is still to be avoided by this call
 bool RelayReducer::isKnownFull(const Call& call, const Chain& chain, TimePoint now) const
 {
     return std::any_of(chain.hops().begin(), chain.hops().end(), [&](const Hop& hop) {
--- a/tests/RelayReducerTest.cpp
+++ b/tests/RelayReducerTest.cpp
@@ -81,8 +81,7 @@
 }
 
 // Guards against calls that keep going to a stage that rejects them. Seen in skanas-profili-grown trouble-3: engines
-// left while the store did not answer, so that their entries still listed them, and rejected a third of the calls for 8
-// s.
+// left while the store did not answer. Their entries still listed them, and they rejected a third of the calls for 8 s.
 TEST(RelayReducer, AStageThatKeepsRejectingCallsIsAvoidedForLonger)
 {
     RelayHarness harness;
