--- a/src/relay/RelayReducerTime.cpp
+++ b/src/relay/RelayReducerTime.cpp
@@ -1,4 +1,4 @@
-// What RelayReducer does as time passes: deadlines, stalls, reroutes, second attempts.
+// How RelayReducer handles ticks: deadlines, stalled streams, reroutes and second attempts.
 
 #include "relay/RelayReducer.h"
 #include "relay/ScaledDuration.h"
@@ -9,126 +9,133 @@
 
 namespace {
 
-    /// A stage with an event this shortly before a stall began is still held to have stalled.
+    /// A stage counts as stalled unless an event of any call passed it more than this long after the call's own last
+    /// event.
     constexpr Duration StallTolerance = std::chrono::milliseconds(40);
-    /// A chain whose stages all move for other calls may be slow with this one: it gets this many times longer.
+    /// Multiple of the stall limit for a chain whose stages all make progress with other calls. It may only be slow
+    /// with this call.
     constexpr int UnexplainedStallFactor = 3;
-    /// So many stages without a sign of life are few enough to leave them all.
-    constexpr std::size_t ClearCulprits = 2;
+    /// Most stages that are all abandoned when they stall. If more seem to have stalled, the first stage is asked which
+    /// one has.
+    constexpr std::size_t MaxSuspectedStages = 2;
 
 } // namespace
 
 void RelayReducer::on(const event::Tick&, Context& context)
 {
     for (auto& [service, budget] : m_budgets)
-        budget.ripen(ripeShare());
+        budget.ripen(retryBurstShare());
     m_checkBudget.earn(m_fleet.servers().size(), m_placer.instances(), context.now);
-    admitUnrouted(context);
+    admitEarlyCalls(context);
     refuseOverdue(context);
-    recheckSickEngines(context);
+    recheckDeadAndSlowEngines(context);
     checkClosedEngines(context);
     moveOffLeaving(context);
-    leaveLostStages(context);
+    retryLostStages(context);
     settleCrashes(context);
     for (auto& [id, call] : m_calls) {
         if (call.state != CallState::Running)
             continue;
         releaseOverdueAnswer(call, context);
-        noteLateness(call, context);
+        recordLateFirstEvent(call, context);
         checkRunning(call, context);
     }
     dispatchAll(context);
 }
 
-/// Calls that came before the first configuration are admitted once it is there, and what was read with it, as the
-/// backend servers; or refused when they have waited for long enough.
-void RelayReducer::admitUnrouted(Context& context)
+/// Admits calls that arrived before the first configuration, and refuses those that have waited too long. This happens
+/// at a tick, after the events that follow the configuration, so that the backend servers read with it are known.
+void RelayReducer::admitEarlyCalls(Context& context)
 {
-    std::vector<Unrouted> due;
-    std::erase_if(m_unrouted, [&](const Unrouted& waiting) {
+    std::vector<EarlyCall> due;
+    std::erase_if(m_earlyCalls, [&](const EarlyCall& waiting) {
         const bool isDue = m_routes || context.now >= waiting.until;
         if (isDue)
             due.push_back(waiting);
         return isDue;
     });
-    for (const Unrouted& waiting : due)
+    for (const EarlyCall& waiting : due)
         admitOrRefuse(waiting.arrival, waiting.arrived, context);
 }
 
+/// Ends calls whose deadline has passed, and waiting calls whose longest wait is over.
 void RelayReducer::refuseOverdue(Context& context)
 {
     std::vector<RequestId> due;
     for (const auto& [id, call] : m_calls) {
-        const bool waitedOut = call.state == CallState::Waiting && context.now >= call.waitUntil;
-        if (waitedOut || context.now >= call.deadline)
+        const bool hasWaitExpired = call.state == CallState::Waiting && context.now >= call.waitUntil;
+        if (hasWaitExpired || context.now >= call.deadline)
             due.push_back(id);
     }
     for (const RequestId& id : due) {
         Call& call = m_calls.at(id);
-        const std::optional<RetryLimit> limit = limitOfWait(call, context);
-        const Reason shortage = call.interruption.value_or(Reason::NoCapacity);
+        const std::optional<RetryLimit> limit = waitLimit(call, context);
+        const Reason shortage = call.interruptionReason.value_or(Reason::NoCapacity);
         keepOnly(call, AttemptId(), context);
         finishUnanswered(call, context.now >= call.deadline ? Reason::TimedOut : shortage, context, limit);
     }
 }
 
-/// @return what kept a call from another attempt for as long as it may wait; nothing: it had none
-std::optional<RetryLimit> RelayReducer::limitOfWait(const Call& call, const Context& context)
+/// @return what kept an overdue call from another attempt, or nothing if no attempt at it failed
+std::optional<RetryLimit> RelayReducer::waitLimit(const Call& call, const Context& context)
 {
     if (context.now >= call.deadline)
         return RetryLimit::Deadline;
-    if (!call.hasFailed())
+    if (!call.hasFailedAttempt())
         return std::nullopt;
     const auto limit = retryLimit(call, context);
-    const bool isUnpaid = call.interruption && !budgetOf(call.service).hasOne();
-    return limit.value_or(isUnpaid ? RetryLimit::Budget : RetryLimit::NoServer);
+    const bool isBudgetSpent = call.interruptionReason && !budgetOf(call.service).hasOne();
+    return limit.value_or(isBudgetSpent ? RetryLimit::Budget : RetryLimit::NoServer);
 }
 
-/// Streams that have no event yet tell of an overload sooner than those that at last get one.
-void RelayReducer::noteLateness(Call& call, Context& context)
+/// Reports a stream without an event within the objective to the concurrency limit. This shows an overload earlier than
+/// the first event, which arrives later still.
+void RelayReducer::recordLateFirstEvent(Call& call, Context& context)
 {
-    if (!isStream(call.route->kind) || call.main.events || call.main.late || call.hasMetTrouble()
-        || context.now - call.main.started < call.route->objective)
+    if (!isStream(call.route->kind) || call.main.eventsDelivered || call.main.isFirstEventLate
+        || call.hasAvoidedServers() || context.now - call.main.startedAt < call.route->objective)
         return;
-    call.main.late = true;
+    call.main.isFirstEventLate = true;
     queueOf(call).limit().answered(1, queueOf(call).running(), context.now);
 }
 
+/// Looks for stalled stages of a running call, and moves the call off them or starts a second attempt.
 void RelayReducer::checkRunning(Call& call, Context& context)
 {
-    if (!isRepeatable(call.route->kind) || call.second || !call.main.reroute.hops().empty())
+    if (!isRepeatable(call.route->kind) || call.second || !call.main.pendingReroute.hops().empty())
         return;
-    if (call.main.lostStage)
-        return; // leaveLostStages goes on with it.
-    suspectSilentStages(call, context);
-    if (call.second || !call.main.reroute.hops().empty() || !isStalled(call, context.now))
+    if (call.main.hasLostStage)
+        return; // Handled by retryLostStages.
+    checkSilentStages(call, context);
+    if (call.second || !call.main.pendingReroute.hops().empty() || !isStalled(call, context.now))
         return;
-    const std::vector<BackendId> culprits = stalledStages(call);
-    if (!culprits.empty() && culprits.size() <= ClearCulprits) {
-        leaveStages(call, culprits, context);
+    const std::vector<BackendId> stalled = stalledStages(call);
+    if (!stalled.empty() && stalled.size() <= MaxSuspectedStages) {
+        abandonStages(call, stalled, context);
         return;
     }
-    // None or many: an instance with few streams cannot tell by itself whom to leave alone.
+    // An instance with few streams cannot tell by itself which stage has stalled.
     askStalledStage(call, context);
-    if (call.main.questions == 1 && context.now < call.main.lastQuestion + m_options.questionInterval)
-        return; // The answer may still name the one.
-    const Duration limit = call.answering ? m_options.minStall : m_options.firstEventLimit;
-    if (culprits.empty() && context.now - call.lastProgress < limit * UnexplainedStallFactor)
+    if (call.main.stallQueries == 1 && context.now < call.main.lastStallQueryAt + m_options.questionInterval)
+        return; // The first stage may still name the stalled one.
+    const Duration limit = call.hasPartialAnswer ? m_options.minStall : m_options.firstEventLimit;
+    if (stalled.empty() && context.now - call.lastProgress < limit * UnexplainedStallFactor)
         return;
-    for (const BackendId& culprit : culprits)
-        call.addAvoided(culprit);
-    startSecond(call, AttemptPurpose::Stalled, context);
+    for (const BackendId& stage : stalled)
+        call.addAvoided(stage);
+    startSecondAttempt(call, AttemptPurpose::Stalled, context);
 }
 
+/// Asks the first stage of the main attempt which stage has stalled.
 void RelayReducer::askStalledStage(Call& call, Context& context)
 {
     Attempt& attempt = call.main;
     if (m_options.without.has(Mechanism::StallQuestions) || attempt.chain.hops().empty()
-        || attempt.questions >= m_options.mostQuestions
-        || context.now < attempt.lastQuestion + m_options.questionInterval)
+        || attempt.stallQueries >= m_options.mostQuestions
+        || context.now < attempt.lastStallQueryAt + m_options.questionInterval)
         return;
-    ++attempt.questions;
-    attempt.lastQuestion = context.now;
+    ++attempt.stallQueries;
+    attempt.lastStallQueryAt = context.now;
     ++m_counters.stallQuestions;
     context.effects.emplace_back(effect::AskStalledStage { attempt.id, call.id, attempt.chain.hops().front().address });
 }
@@ -140,28 +147,29 @@
         return;
     const FleetServer* stage = named.address.empty() ? nullptr : m_fleet.findByAddress(named.address);
     if (stage)
-        leaveStages(*call, { stage->entry.id }, context);
+        abandonStages(*call, { stage->entry.id }, context);
 }
 
-void RelayReducer::leaveStages(Call& call, const std::vector<BackendId>& stages, Context& context)
+/// Marks stages as suspect, and moves the call off them by a reroute or else by a second attempt.
+void RelayReducer::abandonStages(Call& call, const std::vector<BackendId>& stages, Context& context)
 {
     for (const BackendId& stage : stages) {
         m_fleet.suspect(stage, context.now + m_options.suspicion);
         call.addAvoided(stage);
     }
-    if (!call.second && reroute(call, stages, context) == Moving::Impossible)
-        startSecond(call, AttemptPurpose::Stalled, context);
+    if (!call.second && reroute(call, stages, context) == MoveResult::Impossible)
+        startSecondAttempt(call, AttemptPurpose::Stalled, context);
 }
 
-/// Tries the call elsewhere while the main attempt goes on: a server's silence is no reason to end an answer.
-/// @return whether another attempt began
-bool RelayReducer::startSecond(Call& call, AttemptPurpose purpose, Context& context)
+/// Starts an attempt at other servers while the main attempt continues, because a silent server may still deliver.
+/// @return whether the attempt was started
+bool RelayReducer::startSecondAttempt(Call& call, AttemptPurpose purpose, Context& context)
 {
     if (m_options.without.has(Mechanism::SecondAttempts))
         return false;
     RetryBudget& budget = budgetOf(call.service);
-    if (awaitsVerdict(call) || attemptsOf(call) + 1 >= call.route->maxAttempts || retryLimit(call, context)
-        || isRetryTaken(call.service) || !budget.hasOne())
+    if (awaitsCrashVerdict(call) || countedAttempts(call) + 1 >= call.route->maxAttempts || retryLimit(call, context)
+        || isRetryReserved(call.service) || !budget.hasOne())
         return false;
     call.second = startAttempt(call, purpose, context);
     if (!call.second)
@@ -172,38 +180,40 @@
     return true;
 }
 
-/// The main attempt goes on alone.
-void RelayReducer::endSecond(Call& call, Context& context)
+/// Forgets the second attempt, which has ended or become the main one, and ends the hold of the main answer.
+void RelayReducer::endSecondAttempt(Call& call, Context& context)
 {
     call.second.reset();
     continueAnswer(call, context);
 }
 
-RelayReducer::Moving RelayReducer::reroute(Call& call, const std::vector<BackendId>& away, Context& context)
+/// Orders the first stage of the main attempt to continue on another chain, which begins with the same stage.
+/// @param excluded  stages that the new chain must not contain
+RelayReducer::MoveResult RelayReducer::reroute(Call& call, const std::vector<BackendId>& excluded, Context& context)
 {
     Attempt& attempt = call.main;
-    const bool firstGoes = std::find(away.begin(), away.end(), attempt.server) != away.end();
-    if (!attempt.reroute.hops().empty())
-        return Moving::Pending;
+    const bool leavesFirstStage = std::find(excluded.begin(), excluded.end(), attempt.server) != excluded.end();
+    if (!attempt.pendingReroute.hops().empty())
+        return MoveResult::Pending;
     const FleetServer* first = m_fleet.find(attempt.server);
-    const bool takesOrders = !first || !first->refusedCheck;
-    if (m_options.without.has(Mechanism::Reroutes) || awaitsVerdict(call) || firstGoes || !takesOrders
-        || attempt.reroutes >= m_options.mostReroutes)
-        return Moving::Impossible;
-    auto chain = m_placer.reroute(call, attempt, away, context.now, context.entropy);
+    const bool acceptsReroutes = !first || !first->refusedCheck;
+    if (m_options.without.has(Mechanism::Reroutes) || awaitsCrashVerdict(call) || leavesFirstStage || !acceptsReroutes
+        || attempt.rerouteCount >= m_options.mostReroutes)
+        return MoveResult::Impossible;
+    auto chain = m_placer.reroute(call, attempt, excluded, context.now, context.entropy);
     if (!chain)
-        return Moving::Impossible;
+        return MoveResult::Impossible;
     if (awaitsCheck(*chain, context))
-        return Moving::Pending;
-    ++attempt.reroutes;
+        return MoveResult::Pending;
+    ++attempt.rerouteCount;
     ++m_counters.rerouted;
-    // The new stages need the room from now on; the old ones are given free when the order is answered.
+    // The new stages need the capacity from now on. The old ones are released when the order is answered.
     m_fleet.book(*chain, call.tokens);
-    attempt.reroute = *chain;
+    attempt.pendingReroute = *chain;
     call.lastProgress = context.now;
     context.effects.emplace_back(
         effect::RerouteAttempt { attempt.id, call.id, attempt.chain.hops().front().address, *std::move(chain) });
-    return Moving::Ordered;
+    return MoveResult::Ordered;
 }
 
 void RelayReducer::on(const event::RerouteAnswered& answered, Context& context)
@@ -212,31 +222,33 @@
     if (!call)
         return;
     Attempt& attempt = call->attempt(answered.attempt);
-    if (attempt.reroute.hops().empty())
+    if (attempt.pendingReroute.hops().empty())
         return;
     if (!answered.accepted)
         ++m_counters.reroutesRefused;
-    m_fleet.unbook(answered.accepted ? attempt.chain : attempt.reroute, call->tokens);
+    m_fleet.unbook(answered.accepted ? attempt.chain : attempt.pendingReroute, call->tokens);
     if (answered.accepted) {
-        attempt.chain = attempt.reroute;
-        attempt.lostStage = hasEndedStage(attempt.chain);
+        attempt.chain = attempt.pendingReroute;
+        attempt.hasLostStage = hasEndedStage(attempt.chain);
     }
-    attempt.reroute = Chain();
-    const bool goesOn = answered.accepted || !attempt.lostStage || call->second;
-    if (!goesOn)
-        loseAttempt(*call, context);
+    attempt.pendingReroute = Chain();
+    const bool canContinue = answered.accepted || !attempt.hasLostStage || call->second;
+    if (!canContinue)
+        replaceOrEndAttempt(*call, context);
 }
 
+/// @return whether the main attempt has made no progress for longer than its stall limit
 bool RelayReducer::isStalled(const Call& call, TimePoint now) const
 {
-    const Duration still = now - call.lastProgress;
+    const Duration sinceProgress = now - call.lastProgress;
     if (!isStream(call.route->kind))
-        return still > scaled(call.route->objective, m_options.slowCallFactor);
-    if (!call.main.events)
-        return still > m_options.firstEventLimit;
-    return still > std::max(m_options.minStall, scaled(call.usualGap, m_options.stallFactor));
+        return sinceProgress > scaled(call.route->objective, m_options.slowCallFactor);
+    if (!call.main.eventsDelivered)
+        return sinceProgress > m_options.firstEventLimit;
+    return sinceProgress > std::max(m_options.minStall, scaled(call.meanEventGap, m_options.stallFactor));
 }
 
+/// @return the stages of the main attempt through which no event of any call passed since the call's last progress
 std::vector<BackendId> RelayReducer::stalledStages(const Call& call) const
 {
     if (call.main.chain.hops().empty())
--- a/src/relay/ServiceQueue.cpp
+++ b/src/relay/ServiceQueue.cpp
@@ -6,30 +6,30 @@
 
 namespace {
 
-    /// Weight of one end in the rate of ends.
-    constexpr double EndWeight = 0.05;
-    /// Bounds what two ends at the same moment count.
-    constexpr double MostEndsPerSecond = 200;
-    constexpr double LeastSeconds = 1e-3;
-    /// Without a refusal for this long a shortage is over; streams last some three seconds.
-    constexpr Duration ShortagePause = std::chrono::seconds(2);
+    /// Weight of the latest end of a call in the moving average of the rate of ends.
+    constexpr double EndRateWeight = 0.05;
+    /// Bounds on one sample of that rate, for calls that end at nearly the same time.
+    constexpr double MaxEndsPerSecond = 200;
+    constexpr double MinSecondsBetweenEnds = 1e-3;
+    /// A shortage is over when no call was refused for this long. Streams last about three seconds.
+    constexpr Duration ShortageEndGap = std::chrono::seconds(2);
 
 } // namespace
 
 void ServiceQueue::ended(TimePoint now)
 {
     m_running = std::max(0.0, m_running - 1);
-    const double seconds = std::max(LeastSeconds, std::chrono::duration<double>(now - m_lastEnd).count());
+    const double seconds = std::max(MinSecondsBetweenEnds, std::chrono::duration<double>(now - m_lastEnd).count());
     m_lastEnd = now;
-    m_endsPerSecond += EndWeight * (std::min(1 / seconds, MostEndsPerSecond) - m_endsPerSecond);
+    m_endsPerSecond += EndRateWeight * (std::min(1 / seconds, MaxEndsPerSecond) - m_endsPerSecond);
 }
 
 Duration ServiceQueue::refused(TimePoint now)
 {
-    if (now > m_lastRefusal + ShortagePause)
-        m_shortSince = now;
+    if (now > m_lastRefusal + ShortageEndGap)
+        m_shortageSince = now;
     m_lastRefusal = now;
-    return now - m_shortSince;
+    return now - m_shortageSince;
 }
 
 Duration ServiceQueue::expectedWait() const
