--- a/src/requests/ClaimLog.cpp
+++ b/src/requests/ClaimLog.cpp
@@ -22,7 +22,7 @@
     return ShardId(static_cast<std::uint32_t>(&shard - m_shards.data()));
 }
 
-void ClaimLog::request(RequestId request, std::string keyHash, std::string nonce, TimePoint now)
+void ClaimLog::requestClaim(RequestId request, std::string keyHash, std::string nonce, TimePoint now)
 {
     Shard& shard = shardOf(keyHash);
     shard.pending.push_back({ request, Claim { std::move(keyHash), std::move(nonce), false }, now });
@@ -35,27 +35,27 @@
 
 void ClaimLog::withdraw(RequestId request)
 {
-    const auto same = [&](const Pending& pending) { return pending.request == request; };
+    const auto belongsToRequest = [&](const Pending& pending) { return pending.request == request; };
     for (Shard& shard : m_shards) {
-        const auto waiting = std::find_if(shard.pending.begin(), shard.pending.end(), same);
+        const auto waiting = std::find_if(shard.pending.begin(), shard.pending.end(), belongsToRequest);
         if (waiting != shard.pending.end()) {
-            // An earlier write with this nonce may be in doubt, so give the key back rather than only forget it.
+            // An earlier write of this claim may still be committed, so the claim becomes a release of the key.
             waiting->request = RequestId();
             waiting->claim.released = true;
             return;
         }
-        const auto written = std::find_if(shard.writing.begin(), shard.writing.end(), same);
-        if (written != shard.writing.end()) {
-            written->request = RequestId();
-            release(written->claim.keyHash, written->claim.nonce);
+        const auto inWrite = std::find_if(shard.writing.begin(), shard.writing.end(), belongsToRequest);
+        if (inWrite != shard.writing.end()) {
+            inWrite->request = RequestId();
+            release(inWrite->claim.keyHash, inWrite->claim.nonce);
             return;
         }
     }
 }
 
-void ClaimLog::learn(Shard& shard, const ClaimBatch& batch)
+void ClaimLog::applyBatch(Shard& shard, const ClaimBatch& batch)
 {
-    Batch kept { batch.sequence, batch.writtenAt, {} };
+    BatchKeys batchKeys { batch.sequence, batch.writtenAt, {} };
     for (const Claim& claim : batch.claims) {
         const auto found = shard.nonceByKey.find(claim.keyHash);
         if (claim.released) {
@@ -64,42 +64,42 @@
             continue;
         }
         shard.nonceByKey.try_emplace(claim.keyHash, claim.nonce);
-        kept.keyHashes.push_back(claim.keyHash);
+        batchKeys.keyHashes.push_back(claim.keyHash);
     }
-    shard.batches.push_back(std::move(kept));
+    shard.batches.push_back(std::move(batchKeys));
     shard.headSequence = batch.sequence;
 }
 
-void ClaimLog::settle(Shard& shard, std::vector<ClaimVerdict>& verdicts)
+void ClaimLog::resolvePending(Shard& shard, std::vector<ClaimDecision>& decisions)
 {
-    std::deque<Pending> open;
-    const auto givenBack = [&open](const std::string& keyHash, const std::string& nonce) {
-        return std::any_of(open.begin(), open.end(), [&](const Pending& each) {
+    std::deque<Pending> remaining;
+    const auto isBeingReleased = [&remaining](const std::string& keyHash, const std::string& nonce) {
+        return std::any_of(remaining.begin(), remaining.end(), [&](const Pending& each) {
             return each.claim.released && each.claim.keyHash == keyHash && each.claim.nonce == nonce;
         });
     };
     for (Pending& pending : shard.pending) {
         const auto found = shard.nonceByKey.find(pending.claim.keyHash);
-        const bool taken = found != shard.nonceByKey.end();
-        const bool own = taken && found->second == pending.claim.nonce;
+        const bool isClaimed = found != shard.nonceByKey.end();
+        const bool isOwnClaim = isClaimed && found->second == pending.claim.nonce;
         if (pending.claim.released) {
-            if (own || shard.inDoubt)
-                open.push_back(std::move(pending));
+            if (isOwnClaim || shard.hasUnknownWrite)
+                remaining.push_back(std::move(pending));
             continue;
         }
-        if (own) {
+        if (isOwnClaim) {
             ++m_counters.claimsWon;
-            verdicts.push_back({ pending.request, ClaimResult::Won });
-        } else if (taken && !givenBack(pending.claim.keyHash, found->second)) {
-            verdicts.push_back({ pending.request, ClaimResult::Taken });
+            decisions.push_back({ pending.request, ClaimResult::Won });
+        } else if (isClaimed && !isBeingReleased(pending.claim.keyHash, found->second)) {
+            decisions.push_back({ pending.request, ClaimResult::Taken });
         } else {
-            open.push_back(std::move(pending));
+            remaining.push_back(std::move(pending));
         }
     }
-    shard.pending = std::move(open);
+    shard.pending = std::move(remaining);
 }
 
-void ClaimLog::read(const event::ClaimsRead& event, TimePoint now, std::vector<ClaimVerdict>& verdicts)
+void ClaimLog::applyRead(const event::ClaimsRead& event, TimePoint now, std::vector<ClaimDecision>& decisions)
 {
     Shard& shard = m_shards.at(event.shard.value());
     if (shard.state != ShardState::Reading)
@@ -107,22 +107,22 @@
     shard.state = ShardState::Idle;
     if (!event.available)
         return;
-    const bool contiguous = event.batches.empty() || event.batches.front().sequence == shard.headSequence + 1;
-    if (!contiguous) {
-        // Batches between were trimmed: what is left is the whole log.
+    const bool isContiguous = event.batches.empty() || event.batches.front().sequence == shard.headSequence + 1;
+    if (!isContiguous) {
+        // The batches between the known ones and these were trimmed. These are all that remain of the log.
         shard.nonceByKey.clear();
         shard.batches.clear();
     }
     for (const ClaimBatch& batch : event.batches)
-        learn(shard, batch);
+        applyBatch(shard, batch);
     shard.headRevision = event.headRevision;
     shard.headSequence = event.headSequence;
-    shard.current = true;
-    forgetOld(shard, now);
-    settle(shard, verdicts);
+    shard.isCurrent = true;
+    removeExpired(shard, now);
+    resolvePending(shard, decisions);
 }
 
-void ClaimLog::appended(const event::ClaimsAppended& event, TimePoint now, std::vector<ClaimVerdict>& verdicts)
+void ClaimLog::applyAppend(const event::ClaimsAppended& event, TimePoint now, std::vector<ClaimDecision>& decisions)
 {
     Shard& shard = m_shards.at(event.shard.value());
     if (shard.state != ShardState::Writing)
@@ -131,53 +131,54 @@
     ClaimBatch batch { shard.headSequence + 1, now, {} };
     for (const Pending& pending : shard.writing)
         batch.claims.push_back(pending.claim);
-    const bool trustUnknown = event.outcome == WriteOutcome::Unknown && !m_options.guards.settleUnknownClaims;
+    const bool assumeCommitted = event.outcome == WriteOutcome::Unknown && !m_options.guards.settleUnknownClaims;
     if (event.outcome == WriteOutcome::Committed) {
-        learn(shard, batch);
+        applyBatch(shard, batch);
         shard.headRevision = event.revision;
-        shard.inDoubt = false;
+        shard.hasUnknownWrite = false;
     } else {
-        // Unknown: the write may land at any later moment; only a read followed by a further write tells.
-        shard.current = false;
-        shard.inDoubt = shard.inDoubt || event.outcome == WriteOutcome::Unknown;
+        // After Unknown, the write may still be committed at any time. A read and a committed later write settle its
+        // outcome.
+        shard.isCurrent = false;
+        shard.hasUnknownWrite = shard.hasUnknownWrite || event.outcome == WriteOutcome::Unknown;
     }
     for (Pending& pending : shard.writing) {
-        const bool answered = event.outcome == WriteOutcome::Committed || trustUnknown;
-        if (answered && pending.claim.released)
+        const bool isSettled = event.outcome == WriteOutcome::Committed || assumeCommitted;
+        if (isSettled && pending.claim.released)
             continue;
-        if (answered && pending.request != RequestId()) {
+        if (isSettled && pending.request != RequestId()) {
             ++m_counters.claimsWon;
-            verdicts.push_back({ pending.request, ClaimResult::Won });
+            decisions.push_back({ pending.request, ClaimResult::Won });
             continue;
         }
-        if (!answered)
+        if (!isSettled)
             shard.pending.push_front(std::move(pending));
     }
     shard.writing.clear();
-    // A withdrawn claim that stayed pending without a waiter must not be written again.
+    // A claim that was withdrawn while it was being written must not be written again.
     std::erase_if(shard.pending,
         [](const Pending& pending) { return pending.request == RequestId() && !pending.claim.released; });
 }
 
-void ClaimLog::expire(Shard& shard, TimePoint now, std::vector<ClaimVerdict>& verdicts)
+void ClaimLog::expirePending(Shard& shard, TimePoint now, std::vector<ClaimDecision>& decisions)
 {
     for (Pending& pending : shard.pending) {
-        if (pending.request == RequestId() || now - pending.since < m_options.claimTimeout)
+        if (pending.request == RequestId() || now - pending.requestedAt < m_options.claimTimeout)
             continue;
-        verdicts.push_back({ pending.request, ClaimResult::Unavailable });
+        decisions.push_back({ pending.request, ClaimResult::Unavailable });
         pending.request = RequestId();
         pending.claim.released = true;
     }
     for (Pending& pending : shard.writing) {
-        if (pending.request == RequestId() || now - pending.since < m_options.claimTimeout)
+        if (pending.request == RequestId() || now - pending.requestedAt < m_options.claimTimeout)
             continue;
-        verdicts.push_back({ pending.request, ClaimResult::Unavailable });
+        decisions.push_back({ pending.request, ClaimResult::Unavailable });
         pending.request = RequestId();
         release(pending.claim.keyHash, pending.claim.nonce);
     }
 }
 
-void ClaimLog::forgetOld(Shard& shard, TimePoint now)
+void ClaimLog::removeExpired(Shard& shard, TimePoint now)
 {
     while (!shard.batches.empty() && now - shard.batches.front().writtenAt > m_options.claimRetention) {
         for (const std::string& keyHash : shard.batches.front().keyHashes)
@@ -186,10 +187,10 @@
     }
 }
 
-void ClaimLog::send(Shard& shard, TimePoint now, Effects& effects)
+void ClaimLog::startStoreCall(Shard& shard, TimePoint now, Effects& effects)
 {
-    shard.lastCall = now;
-    if (!shard.current) {
+    shard.lastStoreCallAt = now;
+    if (!shard.isCurrent) {
         shard.state = ShardState::Reading;
         ++m_counters.claimReads;
         effects.push_back(effect::ReadClaims { idOf(shard), shard.headSequence });
@@ -197,7 +198,7 @@
     }
     shard.state = ShardState::Writing;
     ++m_counters.claimWrites;
-    forgetOld(shard, now);
+    removeExpired(shard, now);
     effect::AppendClaims append { idOf(shard), shard.headRevision, shard.headSequence + 1,
         shard.batches.empty() ? 0 : shard.batches.front().sequence, now, {} };
     for (Pending& pending : shard.pending) {
@@ -208,18 +209,19 @@
     effects.push_back(std::move(append));
 }
 
-void ClaimLog::advance(TimePoint now, Effects& effects, std::vector<ClaimVerdict>& verdicts)
+void ClaimLog::advance(TimePoint now, Effects& effects, std::vector<ClaimDecision>& decisions)
 {
     for (Shard& shard : m_shards) {
-        expire(shard, now, verdicts);
-        if (shard.state == ShardState::Idle && shard.current)
-            settle(shard, verdicts);
-        if (shard.state == ShardState::Idle && !shard.pending.empty() && now - shard.lastCall >= m_options.claimLinger)
-            send(shard, now, effects);
+        expirePending(shard, now, decisions);
+        if (shard.state == ShardState::Idle && shard.isCurrent)
+            resolvePending(shard, decisions);
+        if (shard.state == ShardState::Idle && !shard.pending.empty()
+            && now - shard.lastStoreCallAt >= m_options.claimLinger)
+            startStoreCall(shard, now, effects);
     }
 }
 
-std::size_t ClaimLog::known() const
+std::size_t ClaimLog::claimedKeyCount() const
 {
     std::size_t count = 0;
     for (const Shard& shard : m_shards)
--- a/src/requests/KeyHash.h
+++ b/src/requests/KeyHash.h
@@ -6,7 +6,8 @@
 
 namespace crocusmount {
 
-/// @return 128 bits of hash of a workspace's idempotency key, as 32 hex digits; the same in every process
+/// Hashes an idempotency key together with its workspace. All instances compute equal hashes.
+/// @return a 128-bit hash as 32 hexadecimal digits
 std::string hashKey(const WorkspaceId&, const std::string& key);
 
 } // namespace crocusmount
--- a/src/requests/PipelineStats.h
+++ b/src/requests/PipelineStats.h
@@ -4,15 +4,16 @@
 
 namespace crocusmount {
 
-/// What this instance has seen of a pipeline's times; exponentially weighted.
+/// Latency and throughput of a pipeline as measured by this instance. All values are exponential moving averages.
+/// An average of 0 has no samples yet.
 struct PipelineStats {
-    double tokenGapMicros = 0; ///< 0: none seen yet
-    double firstTokenMicros = 0;
+    double tokenGapMicros = 0; ///< between two tokens of an attempt
+    double firstTokenMicros = 0; ///< from the start of an attempt to its first token
     double completionsPerSecond = 0;
-    TimePoint lastCompletion;
+    TimePoint lastCompletionAt; ///< zero: no request was completed yet
 
-    /// Moves an average toward a sample; the first sample is taken as it is.
-    static void observe(double& average, double sample)
+    /// Adds a sample to an exponential moving average. The first sample becomes the average.
+    static void updateAverage(double& average, double sample)
     {
         constexpr double gain = 0.05;
         average = average == 0 ? sample : average + gain * (sample - average);
--- a/src/requests/Request.h
+++ b/src/requests/Request.h
@@ -9,34 +9,36 @@
 
 namespace crocusmount {
 
+/// Progress of an unfinished request.
 enum class RequestState {
-    Queued,
-    Claiming, ///< waits for the store to settle its idempotency key
-    Running,
+    Queued, ///< waits for a chain with free capacity, or is being retried
+    Claiming, ///< waits until the store confirms the claim of its idempotency key
+    Running, ///< an attempt is in progress
 };
 
-/// One request between its arrival and its final answer.
+/// A request from its arrival to its final answer.
 struct Request {
     RequestId id;
     RequestSpec spec;
     RequestState state = RequestState::Queued;
-    TimePoint arrived;
+    TimePoint arrivedAt;
     TimePoint deadline;
-    AttemptId attempt; ///< the one running
-    Chain chain; ///< of the attempt running
-    TimePoint attemptStarted;
-    TimePoint lastToken;
-    std::uint32_t attemptTokens = 0;
-    std::vector<std::string> emitted; ///< tokens delivered to the caller
-    std::vector<RequestId> joiners;
-    std::vector<BackendId> avoid;
-    std::string keyHash;
-    std::string nonce;
-    std::uint32_t attempts = 0;
-    bool claimed = false;
-    bool mayHaveRun = false; ///< some attempt may have reached a backend server
-    bool callerLeft = false;
-    bool noRoute = false; ///< the last try to dispatch found no stages at all
+    AttemptId attempt; ///< the latest attempt; the fields of an attempt are valid while it runs
+    Chain chain; ///< stages of the latest attempt
+    TimePoint attemptStartedAt;
+    TimePoint lastTokenAt; ///< time of the attempt's last token; its start if there is none
+    std::uint32_t attemptTokens = 0; ///< received in the latest attempt
+    std::vector<std::string> deliveredTokens; ///< text of the tokens sent to the caller, over all attempts
+    std::vector<RequestId> joinedRequests; ///< later requests with this key, which get this request's answer
+    std::vector<BackendId> avoidedBackends; ///< backend servers that may have failed an earlier attempt or refused it
+    std::string keyHash; ///< hash of workspace and idempotency key; empty: no key
+    std::string nonce; ///< identifies this request in claims, unique over all instances and their restarts
+    std::uint32_t attempts = 0; ///< started so far
+    bool hasClaim = false; ///< the store has confirmed the claim of the key for this request
+    bool mayHaveRun = false; ///< the request may have run on a backend server
+    bool hasCallerLeft
+        = false; ///< true while the request continues for joined requests or because it may not be repeated
+    bool hasNoRoute = false; ///< at the last try to dispatch, no chain existed even without the limit on streams
 };
 
 } // namespace crocusmount
--- a/src/requests/RequestTable.cpp
+++ b/src/requests/RequestTable.cpp
@@ -11,39 +11,43 @@
 
 namespace {
 
-    constexpr Duration RetrySoon = std::chrono::seconds(1);
-    constexpr double NoLimit = std::numeric_limits<double>::infinity();
-    constexpr std::size_t AvoidLimit = 16;
-
-    /// Lookups and service calls go before generations; the caller's priority decides within a kind.
-    /// A stream whose caller waits for its next token goes before those that have not begun.
-    int queuePriority(const Pipeline& pipeline, int priority, bool begun)
+    constexpr Duration DefaultRetryAfter = std::chrono::seconds(1);
+    constexpr double UnlimitedHeadroom = std::numeric_limits<double>::infinity();
+    constexpr std::size_t MaxAvoidedBackends = 16;
+
+    /// Lookups and service calls precede generations. Within a kind, resumed streams precede new requests, and then the
+    /// caller's priority decides.
+    /// @param hasStarted  whether the caller has already received tokens
+    /// @return the rank in the queue; the highest goes first
+    int queuePriority(const Pipeline& pipeline, int priority, bool hasStarted)
     {
-        constexpr int kindStep = 1000;
-        constexpr int begunStep = 500;
-        const bool urgent = pipeline.kind != PipelineKind::Generation;
-        return (urgent ? kindStep : 0) + (begun ? begunStep : 0) + std::clamp(priority, -100, 100);
+        constexpr int kindPriority = 1000;
+        constexpr int startedPriority = 500;
+        const bool isUrgent = pipeline.kind != PipelineKind::Generation;
+        return (isUrgent ? kindPriority : 0) + (hasStarted ? startedPriority : 0) + std::clamp(priority, -100, 100);
     }
 
-    /// @return what a request still costs, at least one token
-    double tokensLeft(const Request& request)
+    /// @return the number of tokens that a request may still produce, at least 1
+    double remainingTokens(const Request& request)
     {
-        const auto emitted = static_cast<double>(request.emitted.size());
-        return std::max(1.0, request.spec.maxTokens - emitted);
+        const auto deliveredCount = static_cast<double>(request.deliveredTokens.size());
+        return std::max(1.0, request.spec.maxTokens - deliveredCount);
     }
 
-    bool sameWork(const RequestSpec& a, const RequestSpec& b)
+    /// @return whether two requests ask for equal answers, so that they may share an idempotency key
+    bool isSameWork(const RequestSpec& a, const RequestSpec& b)
     {
         return a.pipeline == b.pipeline && a.prompt == b.prompt && a.maxTokens == b.maxTokens;
     }
 
-    void addOnce(std::vector<BackendId>& list, const BackendId& id)
+    /// Adds a backend server to a request's avoided ones, unless it is listed already or the list is full.
+    void addAvoided(std::vector<BackendId>& list, const BackendId& id)
     {
-        if (std::find(list.begin(), list.end(), id) == list.end() && list.size() < AvoidLimit)
+        if (std::find(list.begin(), list.end(), id) == list.end() && list.size() < MaxAvoidedBackends)
             list.push_back(id);
     }
 
-    Duration micros(double count) { return Duration(static_cast<std::int64_t>(count)); }
+    Duration toDuration(double micros) { return Duration(static_cast<std::int64_t>(micros)); }
 
 } // namespace
 
@@ -55,7 +59,7 @@
     , m_counters(counters)
     , m_picker(std::move(picker))
     , m_claims(options, counters)
-    , m_answers(options.answerMemory, options.answerMemoryLimit)
+    , m_answerCache(options.answerMemory, options.answerMemoryLimit)
     , m_retryBudget(options.retryRatio, options.retryBurst)
 {
 }
@@ -86,11 +90,11 @@
 
 // ---- Arrival -------------------------------------------------------------------------------------------------------
 
-std::optional<Reason> RequestTable::refusalOf(const RequestSpec& spec, const Gate& gate) const
+std::optional<Reason> RequestTable::refusalReason(const RequestSpec& spec, const AdmissionState& admission) const
 {
-    if (gate.draining)
+    if (admission.draining)
         return Reason::Draining;
-    if (gate.isolated)
+    if (admission.isolated)
         return Reason::Isolated;
     const auto pipeline = m_configuration.pipelines.find(spec.pipeline);
     if (pipeline == m_configuration.pipelines.end())
@@ -110,13 +114,13 @@
     effects.push_back(effect::FailAnswer { id, reason, RunState::NotRun, retryAfter });
 }
 
-bool RequestTable::answerFromMemory(
+bool RequestTable::replayAnswer(
     RequestId id, const RequestSpec& spec, const std::string& keyHash, TimePoint now, Effects& effects)
 {
-    const AnswerMemory::Answer* answer = m_answers.find(keyHash, now);
+    const AnswerCache::Answer* answer = m_answerCache.find(keyHash, now);
     if (!answer)
         return false;
-    if (!sameWork(answer->spec, spec)) {
+    if (!isSameWork(answer->spec, spec)) {
         refuse(id, Reason::KeyReused, Duration(0), effects);
         return true;
     }
@@ -134,15 +138,15 @@
     if (found == m_requestByKey.end())
         return false;
     Request& request = *find(found->second);
-    if (!sameWork(request.spec, spec)) {
+    if (!isSameWork(request.spec, spec)) {
         refuse(id, Reason::KeyReused, Duration(0), effects);
         return true;
     }
     ++m_counters.joined;
-    request.joiners.push_back(id);
-    m_joined[id] = request.id;
-    for (std::uint32_t index = 0; index < request.emitted.size(); ++index)
-        effects.push_back(effect::DeliverToken { id, index, request.emitted[index] });
+    request.joinedRequests.push_back(id);
+    m_primaryByJoined[id] = request.id;
+    for (std::uint32_t index = 0; index < request.deliveredTokens.size(); ++index)
+        effects.push_back(effect::DeliverToken { id, index, request.deliveredTokens[index] });
     return true;
 }
 
@@ -151,39 +155,40 @@
     const auto stats = m_stats.find(pipeline);
     if (!ahead || stats == m_stats.end() || stats->second.completionsPerSecond <= 0)
         return Duration(0);
-    return micros(1e6 * static_cast<double>(ahead) / stats->second.completionsPerSecond);
+    return toDuration(1e6 * static_cast<double>(ahead) / stats->second.completionsPerSecond);
 }
 
-std::optional<Reason> RequestTable::queueRefusal(
+std::optional<Reason> RequestTable::queueRefusalReason(
     const RequestSpec& spec, const Pipeline& pipeline, Duration timeout, Duration& retryAfter)
 {
     const FairQueue& waiting = m_queues[pipeline.id].waiting;
     if (waiting.size() >= m_options.queueLimit) {
-        retryAfter = std::max(RetrySoon, estimatedWait(pipeline.id, waiting.size() / 2));
+        retryAfter = std::max(DefaultRetryAfter, estimatedWait(pipeline.id, waiting.size() / 2));
         return Reason::QueueFull;
     }
     const PipelineStats& stats = m_stats[pipeline.id];
-    const Duration wait
+    const Duration queueWait
         = estimatedWait(pipeline.id, waiting.aheadOf(spec.workspace, queuePriority(pipeline, spec.priority, false)));
-    const Duration service = micros(stats.firstTokenMicros + stats.tokenGapMicros * (spec.maxTokens - 1));
-    if (wait + service <= timeout)
+    const Duration serviceTime = toDuration(stats.firstTokenMicros + stats.tokenGapMicros * (spec.maxTokens - 1));
+    if (queueWait + serviceTime <= timeout)
         return std::nullopt;
-    retryAfter = std::max(RetrySoon, wait + service - timeout);
+    retryAfter = std::max(DefaultRetryAfter, queueWait + serviceTime - timeout);
     return Reason::DeadlineTooShort;
 }
 
-void RequestTable::arrived(const event::RequestArrived& arrival, const Gate& gate, const Event& event, Effects& effects)
+void RequestTable::arrived(
+    const event::RequestArrived& arrival, const AdmissionState& admission, const Event& event, Effects& effects)
 {
     ++m_counters.requests;
     const RequestSpec& spec = arrival.spec;
-    if (const auto reason = refusalOf(spec, gate)) {
-        const bool comeBack = *reason == Reason::Draining || *reason == Reason::Isolated;
-        return refuse(arrival.request, *reason, comeBack ? RetrySoon : Duration(0), effects);
+    if (const auto reason = refusalReason(spec, admission)) {
+        const bool isTemporary = *reason == Reason::Draining || *reason == Reason::Isolated;
+        return refuse(arrival.request, *reason, isTemporary ? DefaultRetryAfter : Duration(0), effects);
     }
     const std::string keyHash
         = spec.idempotencyKey.empty() ? std::string() : hashKey(spec.workspace, spec.idempotencyKey);
     if (!keyHash.empty()
-        && (answerFromMemory(arrival.request, spec, keyHash, event.now, effects)
+        && (replayAnswer(arrival.request, spec, keyHash, event.now, effects)
             || joinByKey(arrival.request, spec, keyHash, effects)))
         return;
     const Pipeline& pipeline = m_configuration.pipelines.at(spec.pipeline);
@@ -194,11 +199,11 @@
     const Duration timeout
         = spec.timeout > Duration(0) ? spec.timeout : Duration(std::chrono::milliseconds(pipeline.deadlineMs));
     Duration retryAfter {};
-    if (const auto reason = queueRefusal(request.spec, pipeline, timeout, retryAfter))
+    if (const auto reason = queueRefusalReason(request.spec, pipeline, timeout, retryAfter))
         return refuse(arrival.request, *reason, retryAfter, effects);
     m_retryBudget.earn();
     m_workspaceBudgets.try_emplace(spec.workspace, m_options.retryRatio, m_options.retryBurst).first->second.earn();
-    request.arrived = event.now;
+    request.arrivedAt = event.now;
     request.deadline = event.now + timeout;
     request.keyHash = keyHash;
     request.nonce
@@ -212,17 +217,17 @@
 void RequestTable::callerLeft(const event::CallerLeft& event, TimePoint now, Effects& effects)
 {
     RequestId primary = event.request;
-    if (const auto joined = m_joined.find(event.request); joined != m_joined.end()) {
+    if (const auto joined = m_primaryByJoined.find(event.request); joined != m_primaryByJoined.end()) {
         primary = joined->second;
-        m_joined.erase(joined);
-        std::erase(find(primary)->joiners, event.request);
+        m_primaryByJoined.erase(joined);
+        std::erase(find(primary)->joinedRequests, event.request);
     } else if (Request* request = find(primary)) {
-        request->callerLeft = true;
+        request->hasCallerLeft = true;
     }
     Request* request = find(primary);
-    if (!request || !request->callerLeft || !request->joiners.empty())
+    if (!request || !request->hasCallerLeft || !request->joinedRequests.empty())
         return;
-    // A request that runs at most once is finished, so that its caller can still have the answer by its key.
+    // A non-repeatable request runs to its end, so that its caller can still get the answer with the idempotency key.
     if (!request->spec.repeatable && request->state == RequestState::Running)
         return;
     cancel(*request, Reason::CallerGone, now, effects);
@@ -243,23 +248,23 @@
 {
     request.state = RequestState::Queued;
     const Pipeline* pipeline = pipelineOf(request);
-    const int priority
-        = pipeline ? queuePriority(*pipeline, request.spec.priority, !request.emitted.empty()) : request.spec.priority;
+    const int priority = pipeline ? queuePriority(*pipeline, request.spec.priority, !request.deliveredTokens.empty())
+                                  : request.spec.priority;
     Queue& queue = m_queues[request.spec.pipeline];
     const std::uint32_t weight = weightOf(request.spec.workspace);
     if (front)
         queue.waiting.pushFront(request.spec.workspace, weight, priority, request.id);
     else
-        queue.waiting.push(request.spec.workspace, weight, priority, { request.id, tokensLeft(request) });
-    queue.blocked = false;
+        queue.waiting.push(request.spec.workspace, weight, priority, { request.id, remainingTokens(request) });
+    queue.isBlocked = false;
     m_dispatchDue = true;
 }
 
-void RequestTable::unblock()
+void RequestTable::unblockQueues()
 {
     m_dispatchDue = true;
     for (auto& [id, queue] : m_queues)
-        queue.blocked = false;
+        queue.isBlocked = false;
 }
 
 void RequestTable::dispatch(const Event& event, Effects& effects)
@@ -268,13 +273,13 @@
         return;
     m_dispatchDue = false;
     for (auto& [id, queue] : m_queues) {
-        if (queue.waiting.empty() || queue.blocked)
+        if (queue.waiting.empty() || queue.isBlocked)
             continue;
         const auto pipeline = m_configuration.pipelines.find(id);
         if (pipeline != m_configuration.pipelines.end())
             dispatchQueue(pipeline->second, queue, event, effects);
         else
-            queue.blocked = true;
+            queue.isBlocked = true;
     }
 }
 
@@ -283,57 +288,57 @@
     std::uint64_t entropy = event.entropy;
     while (const auto id = queue.waiting.pop()) {
         Request& request = *find(*id);
-        const bool urgent = pipeline.kind != PipelineKind::Generation || !request.emitted.empty();
-        const double headroom = urgent ? m_options.urgentHeadroom : m_options.streamHeadroom;
-        const auto stages = m_backends.stagesFor(pipeline, event.now, request.avoid, headroom);
+        const bool isUrgent = pipeline.kind != PipelineKind::Generation || !request.deliveredTokens.empty();
+        const double headroom = isUrgent ? m_options.urgentHeadroom : m_options.streamHeadroom;
+        const auto stages = m_backends.stagesFor(pipeline, event.now, request.avoidedBackends, headroom);
         auto chain = m_picker->pick(RouteQuery { pipeline.layers, stages, ++entropy, m_options.pickJitter });
         if (!chain) {
-            const auto all = m_backends.stagesFor(pipeline, event.now, request.avoid, NoLimit);
-            request.noRoute = !ChainPicker::reachesEnd(RouteQuery { pipeline.layers, all });
+            const auto all = m_backends.stagesFor(pipeline, event.now, request.avoidedBackends, UnlimitedHeadroom);
+            request.hasNoRoute = !ChainPicker::reachesEnd(RouteQuery { pipeline.layers, all });
             enqueue(request, true);
-            queue.blocked = true;
+            queue.isBlocked = true;
             return;
         }
-        const bool needsClaim = !request.spec.repeatable && !request.claimed && m_options.guards.claimBeforeDispatch;
+        const bool needsClaim = !request.spec.repeatable && !request.hasClaim && m_options.guards.claimBeforeDispatch;
         if (needsClaim) {
             request.state = RequestState::Claiming;
-            m_claims.request(request.id, request.keyHash, request.nonce, event.now);
-            std::vector<ClaimVerdict> verdicts;
-            m_claims.advance(event.now, effects, verdicts);
-            apply(verdicts, effects);
+            m_claims.requestClaim(request.id, request.keyHash, request.nonce, event.now);
+            std::vector<ClaimDecision> decisions;
+            m_claims.advance(event.now, effects, decisions);
+            applyClaimDecisions(decisions, effects);
             continue;
         }
-        start(request, *std::move(chain), event.now, effects);
+        startAttempt(request, *std::move(chain), event.now, effects);
     }
 }
 
-void RequestTable::start(Request& request, Chain chain, TimePoint now, Effects& effects)
+void RequestTable::startAttempt(Request& request, Chain chain, TimePoint now, Effects& effects)
 {
     request.state = RequestState::Running;
     request.attempt = AttemptId(m_nextAttempt++);
     request.chain = std::move(chain);
-    request.attemptStarted = now;
-    request.lastToken = now;
+    request.attemptStartedAt = now;
+    request.lastTokenAt = now;
     request.attemptTokens = 0;
     ++request.attempts;
     ++m_counters.attempts;
-    if (!request.emitted.empty())
+    if (!request.deliveredTokens.empty())
         ++m_counters.resumed;
     m_attempts[request.attempt] = request.id;
     m_backends.streamStarted(request.chain);
     effects.push_back(
         effect::StartAttempt { request.attempt, request.id, request.chain, request.spec.prompt, request.spec.maxTokens,
-            request.emitted, request.spec.priority, pipelineOf(request)->kind, request.spec.repeatable });
+            request.deliveredTokens, request.spec.priority, pipelineOf(request)->kind, request.spec.repeatable });
 }
 
 // ---- Tokens --------------------------------------------------------------------------------------------------------
 
-void RequestTable::deliver(Request& request, std::uint32_t index, const std::string& text, Effects& effects)
+void RequestTable::deliverToken(Request& request, std::uint32_t index, const std::string& text, Effects& effects)
 {
     ++m_counters.tokens;
     effects.push_back(effect::DeliverToken { request.id, index, text });
-    for (const RequestId& joiner : request.joiners)
-        effects.push_back(effect::DeliverToken { joiner, index, text });
+    for (const RequestId& joined : request.joinedRequests)
+        effects.push_back(effect::DeliverToken { joined, index, text });
 }
 
 void RequestTable::token(const event::TokenReceived& event, TimePoint now, Effects& effects)
@@ -349,12 +354,12 @@
         ++Counters::at(m_counters.dropped, Reason::CrossedFrame);
         return;
     }
-    if (event.index < request->emitted.size() && m_options.guards.dropDoubledFrames) {
+    if (event.index < request->deliveredTokens.size() && m_options.guards.dropDoubledFrames) {
         ++m_counters.tokensWasted;
         ++Counters::at(m_counters.dropped, Reason::DoubledFrame);
         return;
     }
-    if (event.index > request->emitted.size() && m_options.guards.checkFrameOrder) {
+    if (event.index > request->deliveredTokens.size() && m_options.guards.checkFrameOrder) {
         effects.push_back(effect::CancelAttempt { request->attempt });
         return retryOrFail(*request, Reason::IndexGap, RunState::MayHaveRun, BackendId(), now, effects);
     }
@@ -363,12 +368,12 @@
         return retryOrFail(*request, Reason::TraceMismatch, RunState::MayHaveRun, BackendId(), now, effects);
     }
     PipelineStats& stats = m_stats[request->spec.pipeline];
-    const auto gap = static_cast<double>((now - request->lastToken).count());
-    PipelineStats::observe(request->attemptTokens ? stats.tokenGapMicros : stats.firstTokenMicros, gap);
-    request->lastToken = now;
+    const auto gap = static_cast<double>((now - request->lastTokenAt).count());
+    PipelineStats::updateAverage(request->attemptTokens ? stats.tokenGapMicros : stats.firstTokenMicros, gap);
+    request->lastTokenAt = now;
     ++request->attemptTokens;
-    request->emitted.push_back(event.text);
-    deliver(*request, static_cast<std::uint32_t>(request->emitted.size() - 1), event.text, effects);
+    request->deliveredTokens.push_back(event.text);
+    deliverToken(*request, static_cast<std::uint32_t>(request->deliveredTokens.size() - 1), event.text, effects);
 }
 
 void RequestTable::ended(const event::AttemptEnded& event, TimePoint now, Effects& effects)
@@ -378,13 +383,13 @@
         ++Counters::at(m_counters.dropped, Reason::LateFrame);
         return;
     }
-    if (event.count != request->emitted.size() && m_options.guards.checkEndCount)
+    if (event.count != request->deliveredTokens.size() && m_options.guards.checkEndCount)
         return retryOrFail(*request, Reason::Truncated, RunState::MayHaveRun, BackendId(), now, effects);
     endAttempt(*request, now);
     finish(*request, now, effects);
 }
 
-// ---- Ends of attempts ----------------------------------------------------------------------------------------------
+// ---- End of attempts -----------------------------------------------------------------------------------------------
 
 void RequestTable::endAttempt(Request& request, TimePoint now)
 {
@@ -392,10 +397,11 @@
     m_backends.streamEnded(request.chain);
     const PipelineStats& stats = m_stats[request.spec.pipeline];
     if (request.attemptTokens > 1 && stats.tokenGapMicros > 0) {
-        const double mean = static_cast<double>((now - request.attemptStarted).count()) / request.attemptTokens;
-        m_backends.observeSlowness(request.chain, mean / stats.tokenGapMicros);
+        const double meanGapMicros
+            = static_cast<double>((now - request.attemptStartedAt).count()) / request.attemptTokens;
+        m_backends.observeSlowness(request.chain, meanGapMicros / stats.tokenGapMicros);
     }
-    unblock();
+    unblockQueues();
 }
 
 void RequestTable::failed(const event::AttemptFailed& event, TimePoint now, Effects& effects)
@@ -409,51 +415,51 @@
 }
 
 void RequestTable::retryOrFail(
-    Request& request, Reason reason, RunState run, const BackendId& culprit, TimePoint now, Effects& effects)
+    Request& request, Reason reason, RunState run, const BackendId& failedBackend, TimePoint now, Effects& effects)
 {
     ++Counters::at(m_counters.retried, reason);
     endAttempt(request, now);
     request.state = RequestState::Queued;
-    const bool ranNothing = run == RunState::NotRun && !request.attemptTokens;
-    request.mayHaveRun = request.mayHaveRun || !ranNothing;
-    if (culprit != BackendId()) {
-        addOnce(request.avoid, culprit);
+    const bool didNotRun = run == RunState::NotRun && !request.attemptTokens;
+    request.mayHaveRun = request.mayHaveRun || !didNotRun;
+    if (failedBackend != BackendId()) {
+        addAvoided(request.avoidedBackends, failedBackend);
         if (reason != Reason::RefusedByBackend)
-            m_backends.suspect(culprit);
+            m_backends.suspect(failedBackend);
     } else if (reason != Reason::RefusedByBackend) {
         for (const Hop& hop : request.chain.hops())
-            addOnce(request.avoid, hop.backend);
+            addAvoided(request.avoidedBackends, hop.backend);
     }
     for (const Hop& hop : request.chain.hops())
         effects.push_back(effect::ProbeBackend { hop.backend, hop.address, now });
-    const bool mayRunAgain = request.spec.repeatable || ranNothing || !m_options.guards.keepNonRepeatable;
+    const bool mayRunAgain = request.spec.repeatable || didNotRun || !m_options.guards.keepNonRepeatable;
     if (!mayRunAgain)
         return fail(request, Reason::NotRepeatable, effects);
     if (request.attempts >= m_options.maxAttempts)
-        return fail(request, Reason::RetriesSpent, effects, RetrySoon);
+        return fail(request, Reason::RetriesSpent, effects, DefaultRetryAfter);
     RetryBudget& workspaceBudget
         = m_workspaceBudgets.try_emplace(request.spec.workspace, m_options.retryRatio, m_options.retryBurst)
               .first->second;
     if (!workspaceBudget.spend() || !m_retryBudget.spend())
-        return fail(request, Reason::RetryBudgetSpent, effects, RetrySoon);
+        return fail(request, Reason::RetryBudgetSpent, effects, DefaultRetryAfter);
     enqueue(request, true);
 }
 
 void RequestTable::finish(Request& request, TimePoint now, Effects& effects)
 {
-    const auto count = static_cast<std::uint32_t>(request.emitted.size());
+    const auto count = static_cast<std::uint32_t>(request.deliveredTokens.size());
     PipelineStats& stats = m_stats[request.spec.pipeline];
-    if (stats.lastCompletion != TimePoint() && now > stats.lastCompletion) {
-        const double since = static_cast<double>((now - stats.lastCompletion).count());
-        PipelineStats::observe(stats.completionsPerSecond, std::min(1e4, 1e6 / since));
+    if (stats.lastCompletionAt != TimePoint() && now > stats.lastCompletionAt) {
+        const double intervalMicros = static_cast<double>((now - stats.lastCompletionAt).count());
+        PipelineStats::updateAverage(stats.completionsPerSecond, std::min(1e4, 1e6 / intervalMicros));
     }
-    stats.lastCompletion = now;
-    m_counters.completed += 1 + request.joiners.size();
+    stats.lastCompletionAt = now;
+    m_counters.completed += 1 + request.joinedRequests.size();
     effects.push_back(effect::CompleteAnswer { request.id, count });
-    for (const RequestId& joiner : request.joiners)
-        effects.push_back(effect::CompleteAnswer { joiner, count });
+    for (const RequestId& joined : request.joinedRequests)
+        effects.push_back(effect::CompleteAnswer { joined, count });
     if (!request.keyHash.empty())
-        m_answers.remember(request.keyHash, { request.spec, std::move(request.emitted) }, now);
+        m_answerCache.store(request.keyHash, { request.spec, std::move(request.deliveredTokens) }, now);
     remove(request);
 }
 
@@ -470,19 +476,19 @@
     const RunState run = runStateOf(request);
     if (request.state == RequestState::Claiming)
         m_claims.withdraw(request.id);
-    if (request.claimed && run == RunState::NotRun)
+    if (request.hasClaim && run == RunState::NotRun)
         m_claims.release(request.keyHash, request.nonce);
     ++Counters::at(m_counters.refused, reason);
     effects.push_back(effect::FailAnswer { request.id, reason, run, retryAfter });
-    for (const RequestId& joiner : request.joiners)
-        effects.push_back(effect::FailAnswer { joiner, reason, run, retryAfter });
+    for (const RequestId& joined : request.joinedRequests)
+        effects.push_back(effect::FailAnswer { joined, reason, run, retryAfter });
     remove(request);
 }
 
 void RequestTable::remove(Request& request)
 {
-    for (const RequestId& joiner : request.joiners)
-        m_joined.erase(joiner);
+    for (const RequestId& joined : request.joinedRequests)
+        m_primaryByJoined.erase(joined);
     if (!request.keyHash.empty())
         m_requestByKey.erase(request.keyHash);
     if (request.state == RequestState::Queued)
@@ -492,42 +498,42 @@
 
 // ---- Claims --------------------------------------------------------------------------------------------------------
 
-void RequestTable::apply(const std::vector<ClaimVerdict>& verdicts, Effects& effects)
+void RequestTable::applyClaimDecisions(const std::vector<ClaimDecision>& decisions, Effects& effects)
 {
-    for (const ClaimVerdict& verdict : verdicts) {
-        Request* request = find(verdict.request);
+    for (const ClaimDecision& decision : decisions) {
+        Request* request = find(decision.request);
         if (!request || request->state != RequestState::Claiming)
             continue;
-        if (verdict.result == ClaimResult::Won) {
-            request->claimed = true;
+        if (decision.result == ClaimResult::Won) {
+            request->hasClaim = true;
             enqueue(*request, true);
             continue;
         }
         request->state = RequestState::Queued;
-        if (verdict.result == ClaimResult::Taken) {
-            // Whoever has the key may have run it; this instance did not.
+        if (decision.result == ClaimResult::Taken) {
+            // The request may have run on the instance that has the key, but not on this one.
             request->mayHaveRun = true;
             fail(*request, Reason::KeyClaimed, effects);
         } else {
-            fail(*request, Reason::StoreUnavailable, effects, RetrySoon);
+            fail(*request, Reason::StoreUnavailable, effects, DefaultRetryAfter);
         }
     }
 }
 
 void RequestTable::claimsRead(const event::ClaimsRead& event, TimePoint now, Effects& effects)
 {
-    std::vector<ClaimVerdict> verdicts;
-    m_claims.read(event, now, verdicts);
-    m_claims.advance(now, effects, verdicts);
-    apply(verdicts, effects);
+    std::vector<ClaimDecision> decisions;
+    m_claims.applyRead(event, now, decisions);
+    m_claims.advance(now, effects, decisions);
+    applyClaimDecisions(decisions, effects);
 }
 
 void RequestTable::claimsAppended(const event::ClaimsAppended& event, TimePoint now, Effects& effects)
 {
-    std::vector<ClaimVerdict> verdicts;
-    m_claims.appended(event, now, verdicts);
-    m_claims.advance(now, effects, verdicts);
-    apply(verdicts, effects);
+    std::vector<ClaimDecision> decisions;
+    m_claims.applyAppend(event, now, decisions);
+    m_claims.advance(now, effects, decisions);
+    applyClaimDecisions(decisions, effects);
 }
 
 // ---- Time ----------------------------------------------------------------------------------------------------------
@@ -535,10 +541,11 @@
 void RequestTable::checkStall(Request& request, TimePoint now, Effects& effects)
 {
     const PipelineStats& stats = m_stats[request.spec.pipeline];
-    const Duration usual
-        = micros(m_options.stallFactor * (request.attemptTokens ? stats.tokenGapMicros : stats.firstTokenMicros));
-    const Duration limit = std::max(request.attemptTokens ? m_options.minStall : m_options.firstTokenStall, usual);
-    if (now - request.lastToken < limit || !request.spec.repeatable)
+    const Duration typicalStall
+        = toDuration(m_options.stallFactor * (request.attemptTokens ? stats.tokenGapMicros : stats.firstTokenMicros));
+    const Duration limit
+        = std::max(request.attemptTokens ? m_options.minStall : m_options.firstTokenStall, typicalStall);
+    if (now - request.lastTokenAt < limit || !request.spec.repeatable)
         return;
     effects.push_back(effect::CancelAttempt { request.attempt });
     retryOrFail(request, Reason::Stalled, RunState::MayHaveRun, BackendId(), now, effects);
@@ -546,19 +553,20 @@
 
 void RequestTable::tick(TimePoint now, Effects& effects)
 {
-    std::vector<ClaimVerdict> verdicts;
-    m_claims.advance(now, effects, verdicts);
-    apply(verdicts, effects);
+    std::vector<ClaimDecision> decisions;
+    m_claims.advance(now, effects, decisions);
+    applyClaimDecisions(decisions, effects);
     constexpr Duration checkInterval = std::chrono::milliseconds(50);
     if (now - m_lastStallCheck < checkInterval)
         return;
     m_lastStallCheck = now;
-    unblock();
+    unblockQueues();
     for (auto next = m_requests.begin(); next != m_requests.end();) {
         Request& request = next->second;
-        ++next; // What follows may remove this request and no other.
+        ++next; // The calls below may remove this request, but no other.
         if (now >= request.deadline) {
-            cancel(request, request.noRoute ? Reason::NoRoute : Reason::DeadlinePassed, now, effects, RetrySoon);
+            cancel(request, request.hasNoRoute ? Reason::NoRoute : Reason::DeadlinePassed, now, effects,
+                DefaultRetryAfter);
         } else if (request.state == RequestState::Running) {
             checkStall(request, now, effects);
         }
