--- a/src/routing/BackendTable.cpp
+++ b/src/routing/BackendTable.cpp
@@ -9,14 +9,16 @@
 
 namespace {
 
-    constexpr double SlownessGain = 0.2;
-    constexpr double ToleratedSlowness = 1.5; ///< chains up to this much slower than usual keep their weight
-    constexpr double OthersGain = 0.3; ///< streams may be shorter than a report's lag, so the mean is what counts
-    constexpr double LeastWeight = 0.05;
-
-    /// A stream that crosses all layers spends a share of its time at each stage that is the stage's share of the
-    /// layers, if
-    /// the other stages are of the same kind; the hop between stages is added to its own step.
+    constexpr double SlownessGain = 0.2; ///< of the moving average of a server's slowness
+    constexpr double ToleratedSlowness = 1.5; ///< servers with a lower ratio of token gaps keep their full weight
+    constexpr double OthersStreamsGain = 0.3; ///< an average, as streams may be shorter than the lag of a report
+    constexpr double MinWeight = 0.05; ///< keeps some work on slow and recovering servers
+
+    /// Computes how many streams keep all slots of a server busy. If all stages run equally fast, a stream spends a
+    /// fraction of its time at each stage that equals the stage's fraction of the layers. The latency of the hop to the
+    /// next stage adds to the time of a step.
+    /// @param layerCount  layers of the model
+    /// @return the number of streams, at least 1
     double streamLimitOf(const BackendReport& report, std::uint32_t layerCount, Duration hopLatency)
     {
         const double step = static_cast<double>(std::max<std::int64_t>(1, report.stepMicros));
@@ -25,7 +27,8 @@
         return std::max(1.0, report.slots * stages * (1 + hop / step));
     }
 
-    bool sameHolding(const BackendReport& a, const BackendReport& b)
+    /// @return whether two reports agree in all but the load
+    bool isSameExceptLoad(const BackendReport& a, const BackendReport& b)
     {
         return a.model == b.model && a.layers == b.layers && a.generation == b.generation && a.leaving == b.leaving;
     }
@@ -53,14 +56,14 @@
 {
     ++m_version;
     for (Entry& entry : m_entries)
-        entry.configured = false;
+        entry.isConfigured = false;
     for (const auto& [id, server] : configuration.backends) {
         const auto [position, added] = m_indexes.try_emplace(id, static_cast<std::uint32_t>(m_entries.size()));
         if (added)
             m_entries.emplace_back();
         Entry& entry = m_entries[position->second];
         entry.config = server;
-        entry.configured = true;
+        entry.isConfigured = true;
     }
 }
 
@@ -69,26 +72,26 @@
     Entry* entry = find(report.backend);
     if (!entry || asked < entry->reportedAt || (sequence && sequence < entry->sequence))
         return false;
-    const bool known = entry->report.has_value();
-    const bool changed = !entry->reachable || !entry->report || !sameHolding(*entry->report, report);
-    if (!entry->reachable)
-        entry->trustedSince = entry->report ? now : now - m_options.recoveryRamp;
+    const bool hadReport = entry->report.has_value();
+    const bool changed = !entry->isReachable || !entry->report || !isSameExceptLoad(*entry->report, report);
+    if (!entry->isReachable)
+        entry->reachableSince = entry->report ? now : now - m_options.recoveryRamp;
     entry->reportedAt = asked;
     entry->report = report;
-    entry->reachable = true;
-    entry->misses = 0;
-    const double others = report.running > entry->ownStreams ? report.running - entry->ownStreams : 0;
-    const double gain = entry->report ? OthersGain : 1;
-    entry->othersStreams += gain * (others - entry->othersStreams);
+    entry->isReachable = true;
+    entry->missedProbes = 0;
+    const double othersNow = report.running > entry->ownStreams ? report.running - entry->ownStreams : 0;
+    const double gain = entry->report ? OthersStreamsGain : 1;
+    entry->othersStreams += gain * (othersNow - entry->othersStreams);
     entry->sequence = sequence ? sequence : entry->sequence + (changed ? 1 : 0);
     m_version += changed ? 1 : 0;
-    return changed && known;
+    return changed && hadReport;
 }
 
 bool BackendTable::probeMissed(const BackendId& id)
 {
     Entry* entry = find(id);
-    if (!entry || ++entry->misses < m_options.unreachableAfter || !entry->reachable)
+    if (!entry || ++entry->missedProbes < m_options.unreachableAfter || !entry->isReachable)
         return false;
     suspect(id);
     ++entry->sequence;
@@ -107,8 +110,8 @@
 void BackendTable::suspect(const BackendId& id)
 {
     if (Entry* entry = find(id)) {
-        m_version += entry->reachable ? 1 : 0;
-        entry->reachable = false;
+        m_version += entry->isReachable ? 1 : 0;
+        entry->isReachable = false;
     }
 }
 
@@ -144,9 +147,9 @@
     }
 }
 
-bool BackendTable::usable(const Entry& entry, const Pipeline& pipeline, TimePoint now) const
+bool BackendTable::isUsable(const Entry& entry, const Pipeline& pipeline, TimePoint now) const
 {
-    if (!entry.configured || !entry.reachable || !entry.report || !entry.used)
+    if (!entry.isConfigured || !entry.isReachable || !entry.report || !entry.isUsed)
         return false;
     const bool leaving = entry.config.leaving || entry.report->leaving;
     if (leaving && m_options.guards.refuseLeaving)
@@ -157,10 +160,10 @@
 
 double BackendTable::weightOf(const Entry& entry, TimePoint now) const
 {
-    const auto trusted = std::chrono::duration<double>(now - entry.trustedSince);
-    const double ramp = std::min(1.0, trusted / std::chrono::duration<double>(m_options.recoveryRamp));
+    const auto reachableTime = std::chrono::duration<double>(now - entry.reachableSince);
+    const double ramp = std::min(1.0, reachableTime / std::chrono::duration<double>(m_options.recoveryRamp));
     const double speed = std::min(1.0, ToleratedSlowness / entry.slowness);
-    return std::max(LeastWeight, ramp * speed);
+    return std::max(MinWeight, ramp * speed);
 }
 
 std::vector<Stage> BackendTable::stagesFor(
@@ -169,7 +172,7 @@
     std::vector<Stage> stages;
     for (std::uint32_t index = 0; index < m_entries.size(); ++index) {
         const Entry& entry = m_entries[index];
-        if (!usable(entry, pipeline, now))
+        if (!isUsable(entry, pipeline, now))
             continue;
         const BackendReport& report = *entry.report;
         Stage stage;
@@ -193,7 +196,7 @@
     if (entry.report)
         news.report = *entry.report;
     news.report.backend = entry.config.id;
-    news.reachable = entry.reachable;
+    news.reachable = entry.isReachable;
     news.sequence = entry.sequence;
     news.age = now - entry.reportedAt;
     return news;
@@ -209,7 +212,7 @@
 {
     std::vector<BackendNews> all;
     for (const auto& [id, index] : m_indexes) {
-        if (m_entries[index].configured)
+        if (m_entries[index].isConfigured)
             all.push_back(newsOf(m_entries[index], now));
     }
     return all;
@@ -218,13 +221,13 @@
 void BackendTable::setSubset(const WatchPlan& plan)
 {
     for (const auto& [id, index] : m_indexes)
-        m_entries[index].used = plan.uses(id);
+        m_entries[index].isUsed = plan.uses(id);
 }
 
 bool BackendTable::isStale(const BackendId& id, TimePoint now) const
 {
     const Entry* entry = find(id);
-    if (!entry || (!entry->used && entry->report))
+    if (!entry || (!entry->isUsed && entry->report))
         return false;
     return now - entry->reportedAt > m_options.reportLifetime * 3 / 5;
 }
--- a/src/routing/BackendTable.h
+++ b/src/routing/BackendTable.h
@@ -14,75 +14,91 @@
 class Chain;
 class WatchPlan;
 
-/// All backend servers: what the configuration says of them, what they last reported, and how far they are trusted.
+/// Holds the state of each backend server: its configuration, its last report, whether it is reachable, and how much
+/// work it gets.
 class BackendTable {
 public:
     explicit BackendTable(const ReducerOptions&);
 
-    /// Takes over the configured servers; what is known of those that stay is kept.
+    /// Replaces the configured servers. The state of servers that remain is kept.
     void apply(const Configuration&);
 
-    /// Takes in a report.
-    /// @param asked     when it was asked for; its age counts from there
-    /// @param sequence  the watcher's count; an older one than the last is ignored. 0: this instance's own probe
-    /// @return whether anything but the load changed since an earlier report
+    /// Applies a report, which also shows that the server is reachable. Ignores reports of unknown servers and outdated
+    /// reports.
+    /// @param asked     time at which the report was requested; its age counts from here
+    /// @param sequence  sequence set by the watcher that passed the report on; 0 for a probe of this instance. A
+    /// sequence
+    ///                  below the last one is outdated
+    /// @return whether there was an earlier report and anything except the load has changed since
     bool report(const BackendReport&, TimePoint asked, TimePoint now, std::uint64_t sequence);
     /// Counts a missed probe.
-    /// @return whether the server is now held unreachable and was not before
+    /// @return whether the server became unreachable with this probe
     bool probeMissed(const BackendId&);
-    /// Takes a peer's word that a server is unreachable.
+    /// Marks a server unreachable because a peer reported so, unless a later report has arrived.
     void heardUnreachable(const BackendId&, std::uint64_t sequence);
-    /// An attempt failed at this server: no new work until a probe answers.
+    /// Marks a server unreachable after a failed attempt. It gets no new work until a report arrives.
     void suspect(const BackendId&);
 
-    /// Holds all reports for too old, until newer ones come.
+    /// Expires all reports. A server gets no new work until a newer report arrives.
     void distrustReports();
 
+    /// Counts a stream of this instance on each stage of its chain.
     void streamStarted(const Chain&);
+    /// Removes a stream that streamStarted counted.
     void streamEnded(const Chain&);
-    /// Takes in how an attempt's token gaps compared with its pipeline's usual ones; slow chains lose weight.
+    /// Updates the slowness of the servers of a chain after an attempt. Slow servers lose weight.
+    /// @param ratio  the attempt's mean token gap divided by the pipeline's average one
     void observeSlowness(const Chain&, double ratio);
 
-    /// @param headroom  leave out servers with more streams than this many times what fills their slots
-    /// @return the stages that may serve a pipeline now
+    /// @param avoid     servers to mark as avoided; they are still returned
+    /// @param headroom  limit on the streams of a server, as a multiple of the streams that fill its slots. Servers
+    /// that
+    ///                  have reached the limit are omitted
+    /// @return the stages that can serve a pipeline now
     std::vector<Stage> stagesFor(
         const Pipeline&, TimePoint now, const std::vector<BackendId>& avoid, double headroom) const;
 
-    /// @return the last word on each configured server, in order of id
+    /// @return the last known state of each configured server, in order of id
     std::vector<BackendNews> news(TimePoint now) const;
+    /// @return the last known state of a server, or nothing if the server is unknown
     std::optional<BackendNews> newsOf(const BackendId&, TimePoint now) const;
-    /// Takes over which servers this instance uses.
+    /// Sets the servers that this instance may send work to.
     void setSubset(const WatchPlan&);
-    /// @return a count that grows when a server comes, goes or holds something else
+    /// @return a count that grows with each change of the configuration, of a server's reachability, or of a reported
+    ///         model, layer range, generation or leaving state
     std::uint64_t version() const { return m_version; }
-    /// @return whether the last report is so old that it should be asked for, whoever's turn it is
+    /// @return whether the last report is so old that this instance should probe the server even if others watch it.
+    ///         A server that this instance does not use is only stale before its first report
     bool isStale(const BackendId&, TimePoint now) const;
 
 private:
+    /// State of one backend server.
     struct Entry {
         BackendServer config;
-        std::optional<BackendReport> report;
-        TimePoint reportedAt;
-        TimePoint trustedSince;
-        std::uint64_t sequence = 0;
-        std::uint32_t misses = 0;
-        std::uint32_t ownStreams = 0;
-        double othersStreams = 0; ///< mean of what the reports show beyond this instance's own
-        double slowness = 1;
-        bool configured = false;
-        bool reachable = false;
-        bool used = true; ///< in this instance's subset
+        std::optional<BackendReport> report; ///< the last one; empty: none has arrived
+        TimePoint reportedAt; ///< time at which the last report was requested
+        TimePoint reachableSince; ///< the weight ramps up from here; earlier for a server that never failed
+        std::uint64_t sequence = 0; ///< of the last change; orders the reports of watchers
+        std::uint32_t missedProbes = 0; ///< since the last report
+        std::uint32_t ownStreams = 0; ///< streams of this instance in progress
+        double othersStreams = 0; ///< moving average of the streams of other instances, from the reports
+        double slowness = 1; ///< moving average of the ratio of this server's token gaps to its pipeline's
+        bool isConfigured = false; ///< in the current configuration
+        bool isReachable = false;
+        bool isUsed = true; ///< in the subset of servers that this instance sends work to
     };
 
     Entry* find(const BackendId&);
     const Entry* find(const BackendId&) const;
-    bool usable(const Entry&, const Pipeline&, TimePoint now) const;
+    /// @return whether a server may get work of a pipeline, regardless of its load
+    bool isUsable(const Entry&, const Pipeline&, TimePoint now) const;
+    /// @return the server's weight, above 0 and at most 1, reduced after a recovery and for slow servers
     double weightOf(const Entry&, TimePoint now) const;
     static BackendNews newsOf(const Entry&, TimePoint now);
 
     const ReducerOptions& m_options;
-    std::vector<Entry> m_entries; ///< grows only; an index stays valid for the life of the process
-    std::map<BackendId, std::uint32_t> m_indexes;
+    std::vector<Entry> m_entries; ///< entries are never removed, so an index stays valid for the life of the process
+    std::map<BackendId, std::uint32_t> m_indexes; ///< positions in m_entries
     std::uint64_t m_version = 1;
 };
 
--- a/src/routing/Pickers.cpp
+++ b/src/routing/Pickers.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    /// Spreads one draw of entropy over the decisions of one path.
+    /// Derives the next pseudorandom number, so that one random number per request suffices for all choices on a path.
     std::uint64_t mix(std::uint64_t value)
     {
         value ^= value >> 33;
@@ -18,19 +18,21 @@
         return value ^ (value >> 33);
     }
 
-    constexpr double Unreachable = std::numeric_limits<double>::infinity();
-    constexpr double AvoidPenalty = 100;
-    constexpr double RecentDecay = 0.95;
-    constexpr double RecentWeight = 1;
+    constexpr double NoPathCost = std::numeric_limits<double>::infinity();
+    constexpr double AvoidedStageCost = 100; ///< far above usual costs, so that avoided stages are a last resort
+    constexpr double RecentPickDecay = 0.95; ///< factor per further pick
+    constexpr double RecentPickWeight = 1; ///< streams that one recent pick counts as
 
-    /// For every layer, the cheapest way from there to the last layer.
+    /// The cheapest path from each layer to the end of the model, indexed by layer.
     struct CostTable {
-        std::vector<double> cost;
-        std::vector<const Stage*> next;
+        std::vector<double> cost; ///< of the whole path; infinite if there is none
+        std::vector<const Stage*> next; ///< first stage of the path; null if there is none
     };
 
+    /// Computes the cheapest paths from the last layer backward.
+    /// @param costOf  returns the cost of a stage, above 0
     template <typename CostOf>
-    CostTable cheapestToEnd(const RouteQuery& query, CostOf&& costOf)
+    CostTable cheapestPaths(const RouteQuery& query, CostOf&& costOf)
     {
         std::vector<const Stage*> byBegin;
         byBegin.reserve(query.stages.size());
@@ -41,7 +43,7 @@
         std::sort(byBegin.begin(), byBegin.end(), [](const Stage* a, const Stage* b) {
             return std::tie(b->hop.layers.begin, a->index) < std::tie(a->hop.layers.begin, b->index);
         });
-        CostTable table { std::vector<double>(query.layerCount + 1, Unreachable),
+        CostTable table { std::vector<double>(query.layerCount + 1, NoPathCost),
             std::vector<const Stage*>(query.layerCount + 1, nullptr) };
         table.cost[query.layerCount] = 0;
         for (const Stage* stage : byBegin) {
@@ -58,13 +60,14 @@
 
 bool ChainPicker::reachesEnd(const RouteQuery& query)
 {
-    return cheapestToEnd(query, [](const Stage&) { return 1.0; }).cost[0] < Unreachable;
+    return cheapestPaths(query, [](const Stage&) { return 1.0; }).cost[0] < NoPathCost;
 }
 
 ChainPicker::Path WalkPicker::onPick(const RouteQuery& query)
 {
-    const CostTable table = cheapestToEnd(query, [](const Stage& stage) { return stage.avoid ? AvoidPenalty : 1.0; });
-    if (table.cost[0] == Unreachable)
+    const CostTable table
+        = cheapestPaths(query, [](const Stage& stage) { return stage.avoid ? AvoidedStageCost : 1.0; });
+    if (table.cost[0] == NoPathCost)
         return {};
     Path path;
     std::uint64_t entropy = query.entropy;
@@ -72,7 +75,7 @@
         Path candidates;
         for (const Stage& stage : query.stages) {
             if (stage.hop.layers.begin == layer && stage.hop.layers.end <= query.layerCount
-                && table.cost[stage.hop.layers.end] < Unreachable && !stage.avoid)
+                && table.cost[stage.hop.layers.end] < NoPathCost && !stage.avoid)
                 candidates.push_back(&stage);
         }
         if (candidates.empty())
@@ -95,49 +98,50 @@
 
 namespace {
 
-    double reportedFill(const Stage* stage) { return stage->reportedStreams / stage->streamLimit; }
+    double reportedUtilization(const Stage* stage) { return stage->reportedStreams / stage->streamLimit; }
 
-    bool reportsLess(const Stage* a, const Stage* b) { return reportedFill(a) < reportedFill(b); }
+    bool hasLowerReport(const Stage* a, const Stage* b) { return reportedUtilization(a) < reportedUtilization(b); }
 
 } // namespace
 
 const Stage* LeastReportedPicker::onChoose(const Path& candidates, std::uint64_t)
 {
-    return *std::min_element(candidates.begin(), candidates.end(), reportsLess);
+    return *std::min_element(candidates.begin(), candidates.end(), hasLowerReport);
 }
 
 const Stage* PowerOfTwoPicker::onChoose(const Path& candidates, std::uint64_t entropy)
 {
     const Stage* first = candidates[entropy % candidates.size()];
     const Stage* second = candidates[mix(entropy) % candidates.size()];
-    return std::min(first, second, reportsLess);
+    return std::min(first, second, hasLowerReport);
 }
 
-double FlowPicker::recentOf(const Stage& stage) const
+double FlowPicker::recentPicksOf(const Stage& stage) const
 {
-    return stage.index < m_recent.size() ? m_recent[stage.index] : 0;
+    return stage.index < m_recentPicks.size() ? m_recentPicks[stage.index] : 0;
 }
 
-void FlowPicker::remember(const Path& path)
+void FlowPicker::recordPick(const Path& path)
 {
-    for (double& recent : m_recent)
-        recent *= RecentDecay;
+    for (double& picks : m_recentPicks)
+        picks *= RecentPickDecay;
     for (const Stage* stage : path) {
-        if (m_recent.size() <= stage->index)
-            m_recent.resize(stage->index + 1);
-        m_recent[stage->index] += 1;
+        if (m_recentPicks.size() <= stage->index)
+            m_recentPicks.resize(stage->index + 1);
+        m_recentPicks[stage->index] += 1;
     }
 }
 
 ChainPicker::Path FlowPicker::onPick(const RouteQuery& query)
 {
     std::uint64_t entropy = query.entropy;
-    const CostTable table = cheapestToEnd(query, [&](const Stage& stage) {
+    const CostTable table = cheapestPaths(query, [&](const Stage& stage) {
         entropy = mix(entropy + 1);
         const double jitter = query.jitter * static_cast<double>(entropy >> 11) / static_cast<double>(1ULL << 53);
-        const double fill = (stage.streams + 1 + recentOf(stage) * RecentWeight) / stage.streamLimit;
-        const double share = static_cast<double>(stage.hop.layers.size()) / query.layerCount;
-        return share * (fill / std::max(stage.weight, 0.01) + jitter) + (stage.avoid ? AvoidPenalty : 0);
+        const double utilization = (stage.streams + 1 + recentPicksOf(stage) * RecentPickWeight) / stage.streamLimit;
+        const double layerFraction = static_cast<double>(stage.hop.layers.size()) / query.layerCount;
+        return layerFraction * (utilization / std::max(stage.weight, 0.01) + jitter)
+            + (stage.avoid ? AvoidedStageCost : 0);
     });
     Path path;
     for (std::uint32_t layer = 0; layer < query.layerCount; layer = path.back()->hop.layers.end) {
@@ -145,7 +149,7 @@
             return {};
         path.push_back(table.next[layer]);
     }
-    remember(path);
+    recordPick(path);
     return path;
 }
 
