--- a/src/membership/Membership.cpp
+++ b/src/membership/Membership.cpp
@@ -10,13 +10,16 @@
 
 namespace {
 
-    constexpr std::size_t UpdatesPerMessage = 6;
-    constexpr std::size_t IndirectProbes = 3;
-    constexpr std::uint32_t TellFactor = 3; ///< each change is passed on this many times log2 of the instances
-    constexpr Duration DeadMemory = std::chrono::seconds(60); ///< so that old news does not bring a dead instance back
-    constexpr std::uint64_t HealEvery = 8; ///< one probe in so many goes to an instance held dead, to heal partitions
+    constexpr std::size_t MaxUpdatesPerMessage = 6;
+    constexpr std::size_t IndirectProbeCount = 3; ///< instances asked to ping a target that does not answer
+    constexpr std::uint32_t TransmissionFactor = 3; ///< messages per change, as a multiple of log2 of the instances
+    /// Time for which a dead instance is kept, so that a delayed message does not add it again as alive.
+    constexpr Duration DeadRetention = std::chrono::seconds(60);
+    /// One in this many probes may go to a dead instance, so that the parts of a healed partition find each other.
+    constexpr std::uint64_t DeadProbeInterval = 8;
 
-    bool newer(const MemberUpdate& a, const MemberUpdate& b)
+    /// @return whether an update replaces another: it has a higher incarnation, or a later state within one incarnation
+    bool isNewer(const MemberUpdate& a, const MemberUpdate& b)
     {
         return std::pair(a.incarnation, a.state) > std::pair(b.incarnation, b.state);
     }
@@ -31,7 +34,7 @@
 {
 }
 
-bool Membership::learn(const MemberUpdate& update, TimePoint now)
+bool Membership::applyUpdate(const MemberUpdate& update, TimePoint now)
 {
     if (update.instance == m_self.instance) {
         refute(update);
@@ -39,9 +42,9 @@
     }
     const auto [position, added] = m_members.try_emplace(update.instance);
     Member& member = position->second;
-    if (!added && !newer(update, member.update)) {
-        const bool same = update.incarnation == member.update.incarnation;
-        if (same && update.revision > member.update.revision)
+    if (!added && !isNewer(update, member.update)) {
+        const bool hasEqualIncarnation = update.incarnation == member.update.incarnation;
+        if (hasEqualIncarnation && update.revision > member.update.revision)
             member.update.revision = update.revision;
         return false;
     }
@@ -52,16 +55,16 @@
     const Revision known = member.update.revision;
     member.update = update;
     member.update.revision = std::max(known, update.revision);
-    member.since = now;
-    member.tells = 0;
+    member.stateSince = now;
+    member.transmissions = 0;
     ++m_version;
     return true;
 }
 
 void Membership::refute(const MemberUpdate& update)
 {
-    const bool wrong = update.state == MemberState::Suspect || update.state == MemberState::Dead;
-    if (wrong && update.incarnation >= m_self.incarnation)
+    const bool isMisjudged = update.state == MemberState::Suspect || update.state == MemberState::Dead;
+    if (isMisjudged && update.incarnation >= m_self.incarnation)
         m_self.incarnation = update.incarnation + 1;
 }
 
@@ -70,32 +73,32 @@
     for (const MemberUpdate& update : event.instances) {
         const bool known = m_members.contains(update.instance);
         if (!known && update.instance != m_self.instance && isLive(update))
-            learn(update, now);
+            applyUpdate(update, now);
     }
 }
 
-std::uint32_t Membership::tellLimit() const
+std::uint32_t Membership::maxTransmissions() const
 {
-    return TellFactor * static_cast<std::uint32_t>(std::bit_width(m_members.size() + 1));
+    return TransmissionFactor * static_cast<std::uint32_t>(std::bit_width(m_members.size() + 1));
 }
 
-PeerMessage Membership::message(PeerMessageKind kind, std::uint64_t sequence)
+PeerMessage Membership::makeMessage(PeerMessageKind kind, std::uint64_t sequence)
 {
     PeerMessage message;
     message.kind = kind;
     message.sender = m_self;
     message.sequence = sequence;
-    std::vector<Member*> fresh;
+    std::vector<Member*> recentlyChanged;
     for (auto& [id, member] : m_members) {
-        if (member.tells < tellLimit())
-            fresh.push_back(&member);
+        if (member.transmissions < maxTransmissions())
+            recentlyChanged.push_back(&member);
     }
-    const std::size_t count = std::min(UpdatesPerMessage, fresh.size());
-    std::partial_sort(fresh.begin(), fresh.begin() + static_cast<std::ptrdiff_t>(count), fresh.end(),
-        [](const Member* a, const Member* b) { return a->tells < b->tells; });
+    const std::size_t count = std::min(MaxUpdatesPerMessage, recentlyChanged.size());
+    std::partial_sort(recentlyChanged.begin(), recentlyChanged.begin() + static_cast<std::ptrdiff_t>(count),
+        recentlyChanged.end(), [](const Member* a, const Member* b) { return a->transmissions < b->transmissions; });
     for (std::size_t i = 0; i < count; ++i) {
-        ++fresh[i]->tells;
-        message.updates.push_back(fresh[i]->update);
+        ++recentlyChanged[i]->transmissions;
+        message.updates.push_back(recentlyChanged[i]->update);
     }
     return message;
 }
@@ -105,19 +108,18 @@
     effects.push_back(effect::SendPeerMessage { address, std::move(message) });
 }
 
-/// Tells an instance that it is wrongly held suspect or dead here, so that it raises its incarnation for all.
-void Membership::correct(const MemberUpdate& sender, Effects& effects)
+void Membership::notifyMisjudged(const MemberUpdate& sender, Effects& effects)
 {
     const auto known = m_members.find(sender.instance);
     if (known == m_members.end() || sender.state != MemberState::Alive)
         return;
-    const MemberUpdate& held = known->second.update;
-    const bool wrong = held.state == MemberState::Suspect || held.state == MemberState::Dead;
-    if (!wrong || held.incarnation < sender.incarnation)
+    const MemberUpdate& knownUpdate = known->second.update;
+    const bool isMisjudged = knownUpdate.state == MemberState::Suspect || knownUpdate.state == MemberState::Dead;
+    if (!isMisjudged || knownUpdate.incarnation < sender.incarnation)
         return;
-    PeerMessage hint = message(PeerMessageKind::News, 0);
-    hint.updates.push_back(held);
-    send(sender.peerAddress, std::move(hint), effects);
+    PeerMessage correction = makeMessage(PeerMessageKind::News, 0);
+    correction.updates.push_back(knownUpdate);
+    send(sender.peerAddress, std::move(correction), effects);
 }
 
 void Membership::received(const PeerMessage& incoming, TimePoint now, Effects& effects)
@@ -130,22 +132,22 @@
             member->second.update.revision = std::max(member->second.update.revision, sender.revision);
         return;
     }
-    correct(sender, effects);
-    learn(sender, now);
+    notifyMisjudged(sender, effects);
+    applyUpdate(sender, now);
     for (const MemberUpdate& update : incoming.updates)
-        learn(update, now);
+        applyUpdate(update, now);
     switch (incoming.kind) {
     case PeerMessageKind::Ping:
-        send(sender.peerAddress, message(PeerMessageKind::Ack, incoming.sequence), effects);
+        send(sender.peerAddress, makeMessage(PeerMessageKind::Ack, incoming.sequence), effects);
         break;
     case PeerMessageKind::Ack: {
         if (m_probe && m_probe->sequence == incoming.sequence)
             m_probe.reset();
-        const auto relay = std::find_if(
-            m_relays.begin(), m_relays.end(), [&](const Relay& each) { return each.sequence == incoming.sequence; });
-        if (relay != m_relays.end()) {
-            send(relay->requester, message(PeerMessageKind::Ack, relay->requesterSequence), effects);
-            m_relays.erase(relay);
+        const auto forwarded = std::find_if(m_forwardedPings.begin(), m_forwardedPings.end(),
+            [&](const ForwardedPing& ping) { return ping.sequence == incoming.sequence; });
+        if (forwarded != m_forwardedPings.end()) {
+            send(forwarded->requester, makeMessage(PeerMessageKind::Ack, forwarded->requesterSequence), effects);
+            m_forwardedPings.erase(forwarded);
         }
         break;
     }
@@ -154,8 +156,8 @@
         if (target == m_members.end())
             break;
         const std::uint64_t sequence = m_nextSequence++;
-        m_relays.push_back({ sequence, sender.peerAddress, incoming.sequence, now });
-        send(target->second.update.peerAddress, message(PeerMessageKind::Ping, sequence), effects);
+        m_forwardedPings.push_back({ sequence, sender.peerAddress, incoming.sequence, now });
+        send(target->second.update.peerAddress, makeMessage(PeerMessageKind::Ping, sequence), effects);
         break;
     }
     case PeerMessageKind::News:
@@ -165,65 +167,66 @@
 
 void Membership::probeNext(TimePoint now, std::uint64_t entropy, Effects& effects)
 {
-    const bool heal = entropy % HealEvery == 0;
-    if (m_order.empty()) {
+    const bool mayProbeDead = entropy % DeadProbeInterval == 0;
+    if (m_probeOrder.empty()) {
         for (const auto& [id, member] : m_members)
-            m_order.push_back(id);
-        for (std::size_t i = m_order.size(); i > 1; --i) {
+            m_probeOrder.push_back(id);
+        for (std::size_t i = m_probeOrder.size(); i > 1; --i) {
             entropy = entropy * 6364136223846793005ULL + 1442695040888963407ULL;
-            std::swap(m_order[i - 1], m_order[(entropy >> 33) % i]);
+            std::swap(m_probeOrder[i - 1], m_probeOrder[(entropy >> 33) % i]);
         }
     }
-    while (!m_order.empty()) {
-        const auto target = m_members.find(m_order.back());
-        m_order.pop_back();
-        if (target == m_members.end() || (!isLive(target->second.update) && !heal))
+    while (!m_probeOrder.empty()) {
+        const auto target = m_members.find(m_probeOrder.back());
+        m_probeOrder.pop_back();
+        if (target == m_members.end() || (!isLive(target->second.update) && !mayProbeDead))
             continue;
         m_probe = Probe { target->first, m_nextSequence++, now, false };
-        send(target->second.update.peerAddress, message(PeerMessageKind::Ping, m_probe->sequence), effects);
+        send(target->second.update.peerAddress, makeMessage(PeerMessageKind::Ping, m_probe->sequence), effects);
         return;
     }
 }
 
 void Membership::advanceProbe(TimePoint now, std::uint64_t entropy, Effects& effects)
 {
-    if (!m_probe || m_probe->relayed || now - m_probe->sent < m_options.ackTimeout)
+    if (!m_probe || m_probe->isIndirect || now - m_probe->sentAt < m_options.ackTimeout)
         return;
-    m_probe->relayed = true;
+    m_probe->isIndirect = true;
     std::vector<const Member*> helpers;
     for (const auto& [id, member] : m_members) {
         if (id != m_probe->target && member.update.state == MemberState::Alive)
             helpers.push_back(&member);
     }
-    for (std::size_t i = 0; i < IndirectProbes && !helpers.empty(); ++i) {
+    for (std::size_t i = 0; i < IndirectProbeCount && !helpers.empty(); ++i) {
         const std::size_t chosen = (entropy >> (8 * i)) % helpers.size();
-        PeerMessage request = message(PeerMessageKind::PingRequest, m_probe->sequence);
+        PeerMessage request = makeMessage(PeerMessageKind::PingRequest, m_probe->sequence);
         request.target = m_probe->target;
         send(helpers[chosen]->update.peerAddress, std::move(request), effects);
         helpers.erase(helpers.begin() + static_cast<std::ptrdiff_t>(chosen));
     }
 }
 
-void Membership::expire(TimePoint now)
+void Membership::expireMembers(TimePoint now)
 {
     for (auto next = m_members.begin(); next != m_members.end();) {
         Member& member = next->second;
-        const Duration age = now - member.since;
+        const Duration age = now - member.stateSince;
         if (member.update.state == MemberState::Suspect && age >= m_options.suspicionTimeout) {
             member.update.state = MemberState::Dead;
-            member.since = now;
-            member.tells = 0;
+            member.stateSince = now;
+            member.transmissions = 0;
             ++m_version;
         }
-        const bool forget = member.update.state == MemberState::Dead && age >= DeadMemory && hasPeers();
-        next = forget ? m_members.erase(next) : std::next(next);
+        const bool isExpired = member.update.state == MemberState::Dead && age >= DeadRetention && hasPeers();
+        next = isExpired ? m_members.erase(next) : std::next(next);
     }
-    std::erase_if(m_relays, [&](const Relay& relay) { return now - relay.sent > m_options.gossipInterval; });
+    std::erase_if(m_forwardedPings,
+        [&](const ForwardedPing& forwarded) { return now - forwarded.sentAt > m_options.gossipInterval; });
 }
 
 void Membership::tick(TimePoint now, std::uint64_t entropy, Effects& effects)
 {
-    expire(now);
+    expireMembers(now);
     advanceProbe(now, entropy, effects);
     if (now < m_nextProbe)
         return;
@@ -233,13 +236,13 @@
             && target->second.update.state != MemberState::Suspect) {
             MemberUpdate suspected = target->second.update;
             suspected.state = MemberState::Suspect;
-            // A leaving instance that falls silent has left.
+            // A leaving instance that no longer answers has left.
             if (target->second.update.state == MemberState::Leaving)
                 suspected.state = MemberState::Dead;
             target->second.update = suspected;
             ++m_version;
-            target->second.since = now;
-            target->second.tells = 0;
+            target->second.stateSince = now;
+            target->second.transmissions = 0;
         }
         m_probe.reset();
     }
@@ -254,7 +257,7 @@
     ++m_self.incarnation;
     for (const auto& [id, member] : m_members) {
         if (isLive(member.update))
-            send(member.update.peerAddress, message(PeerMessageKind::News, 0), effects);
+            send(member.update.peerAddress, makeMessage(PeerMessageKind::News, 0), effects);
     }
 }
 
@@ -262,9 +265,9 @@
 {
     m_self.revision = revision;
     for (const auto& [id, member] : m_members) {
-        const bool near = member.update.dataCentre == m_self.dataCentre;
-        if (near && isLive(member.update) && member.update.revision < revision)
-            send(member.update.peerAddress, message(PeerMessageKind::News, 0), effects);
+        const bool isInSameDataCentre = member.update.dataCentre == m_self.dataCentre;
+        if (isInSameDataCentre && isLive(member.update) && member.update.revision < revision)
+            send(member.update.peerAddress, makeMessage(PeerMessageKind::News, 0), effects);
     }
 }
 
@@ -290,9 +293,9 @@
     const std::uint64_t own = rendezvous(key, m_self.instance);
     std::size_t rank = 0;
     for (const auto& [id, member] : m_members) {
-        const bool counts = member.update.state == MemberState::Alive
+        const bool isRanked = member.update.state == MemberState::Alive
             && (!sameDataCentre || member.update.dataCentre == m_self.dataCentre);
-        if (counts && rendezvous(key, id) > own)
+        if (isRanked && rendezvous(key, id) > own)
             ++rank;
     }
     return rank;
@@ -301,7 +304,7 @@
 std::vector<MemberUpdate> Membership::live() const
 {
     std::vector<MemberUpdate> all = members();
-    // A suspect keeps its share until it is known to be dead, so that a late answer moves nothing.
+    // A suspect keeps its share of the servers until it is declared dead, so that a late answer changes no assignment.
     std::erase_if(all, [](const MemberUpdate& member) {
         return member.state == MemberState::Dead || member.state == MemberState::Leaving;
     });
@@ -310,15 +313,15 @@
 
 void Membership::tell(const std::string& address, std::vector<BackendNews> news, Effects& effects) const
 {
-    PeerMessage out;
-    out.kind = PeerMessageKind::News;
-    // Whoever is told of servers knows this instance from its probes; addresses in each datagram would double it.
-    out.sender.instance = m_self.instance;
-    out.sender.incarnation = m_self.incarnation;
-    out.sender.state = m_self.state;
-    out.sender.revision = m_self.revision;
-    out.backends = std::move(news);
-    effects.push_back(effect::SendPeerMessage { address, std::move(out) });
+    PeerMessage outgoing;
+    outgoing.kind = PeerMessageKind::News;
+    // The receiver knows the addresses of this instance from probes. Including them would double the datagram.
+    outgoing.sender.instance = m_self.instance;
+    outgoing.sender.incarnation = m_self.incarnation;
+    outgoing.sender.state = m_self.state;
+    outgoing.sender.revision = m_self.revision;
+    outgoing.backends = std::move(news);
+    effects.push_back(effect::SendPeerMessage { address, std::move(outgoing) });
 }
 
 bool Membership::followsStore() const
@@ -329,7 +332,7 @@
 bool Membership::hasPeers() const
 {
     return std::any_of(m_members.begin(), m_members.end(),
-        [](const auto& each) { return each.second.update.state == MemberState::Alive; });
+        [](const auto& member) { return member.second.update.state == MemberState::Alive; });
 }
 
 } // namespace crocusmount
--- a/src/membership/Rendezvous.h
+++ b/src/membership/Rendezvous.h
@@ -8,7 +8,9 @@
 
 namespace crocusmount {
 
-/// @return the weight of an instance for a key; the instance with the largest has the key. The same in every process
+/// Computes the rendezvous hash of a key and an instance. The instance with the largest weight gets the key. All
+/// instances compute equal weights.
+/// @return the weight of the instance for the key
 inline std::uint64_t rendezvous(const std::string& key, const InstanceId& instance)
 {
     const std::uint64_t seed = XXH3_64bits(instance.value().data(), instance.value().size());
--- a/src/membership/WatchPlan.cpp
+++ b/src/membership/WatchPlan.cpp
@@ -10,7 +10,7 @@
 
     using Group = std::vector<const WatchPlan::Backend*>;
 
-    /// @return the servers of a group that an instance uses
+    /// @return the reachable servers of a group that an instance uses, at most count
     std::vector<BackendId> subsetOf(const InstanceId& instance, const Group& group, std::uint32_t count)
     {
         std::vector<std::pair<std::uint64_t, const BackendId*>> ranked;
@@ -26,7 +26,8 @@
         return subset;
     }
 
-    /// @return how many live instances go before this one as watchers of a server
+    /// Ranks this instance among the watchers of a server. The instance of rank 0 reports the server's load to others.
+    /// @return the number of live instances that precede this one
     std::size_t rankOf(const InstanceId& self, const std::vector<MemberUpdate>& members, const BackendId& id)
     {
         const std::uint64_t own = rendezvous(id.value(), self);
@@ -41,8 +42,8 @@
     const std::vector<Backend>& backends, std::uint32_t watchers, std::uint32_t subsetPerGroup)
 {
     WatchPlan plan;
-    plan.m_all = !subsetPerGroup;
-    std::set<BackendId> led;
+    plan.m_usesAll = !subsetPerGroup;
+    std::set<BackendId> ledServers;
     std::map<std::string, Group> groups;
     std::set<std::string> ledGroups;
     for (const Backend& backend : backends) {
@@ -51,14 +52,14 @@
         if (rank < watchers)
             plan.m_watched.insert(backend.id);
         if (rank == 0 && backend.reachable) {
-            led.insert(backend.id);
+            ledServers.insert(backend.id);
             ledGroups.insert(backend.group);
         }
     }
-    if (plan.m_all) {
+    if (plan.m_usesAll) {
         for (const MemberUpdate& member : members) {
-            if (member.instance != self && !led.empty())
-                plan.m_tells[member.peerAddress].assign(led.begin(), led.end());
+            if (member.instance != self && !ledServers.empty())
+                plan.m_reportTargets[member.peerAddress].assign(ledServers.begin(), ledServers.end());
         }
         return plan;
     }
@@ -71,8 +72,8 @@
             if (member.instance == self)
                 continue;
             for (const BackendId& id : subsetOf(member.instance, group, subsetPerGroup)) {
-                if (led.contains(id))
-                    plan.m_tells[member.peerAddress].push_back(id);
+                if (ledServers.contains(id))
+                    plan.m_reportTargets[member.peerAddress].push_back(id);
             }
         }
     }
--- a/src/membership/WatchPlan.h
+++ b/src/membership/WatchPlan.h
@@ -11,36 +11,39 @@
 
 namespace crocusmount {
 
-/// Who watches which backend server, who uses it, and so who tells whom. All of it follows from the list of live
-/// instances and of backend servers by rendezvous hashing: every instance works out the same, and a server or an
-/// instance that comes or goes moves only its own share (docs/decisions/0006-engine-state.md).
+/// Assigns the backend servers that this instance probes, those that it sends work to, and the peers to which it
+/// reports the load of servers. Rendezvous hashing derives the assignment from the lists of live instances and of
+/// backend servers, so all instances with equal lists agree on it. If a server or an instance is added or removed, only
+/// its own share is reassigned (docs/decisions/0006-engine-state.md).
 class WatchPlan {
 public:
-    /// A backend server as the plan sees it.
+    /// The properties of a backend server that the plan depends on.
     struct Backend {
         BackendId id;
-        std::string group; ///< servers that can stand in for each other: one model and range of layers; empty: unknown
+        std::string group; ///< model and layer range; servers of one group are interchangeable; empty: unknown
         bool reachable = false;
     };
 
-    /// @param members         live instances, this one included
-    /// @param watchers        instances that watch each server
-    /// @param subsetPerGroup  servers of each group that an instance uses; 0: all
+    /// Computes the plan of an instance.
+    /// @param self            the instance
+    /// @param members         live instances, including self
+    /// @param watchers        number of instances that watch each server
+    /// @param subsetPerGroup  number of servers of each group that an instance uses; 0: all
     static WatchPlan make(const InstanceId& self, const std::vector<MemberUpdate>& members, const std::vector<Backend>&,
         std::uint32_t watchers, std::uint32_t subsetPerGroup);
 
-    /// Servers that this instance probes.
+    /// @return the servers that this instance probes
     const std::set<BackendId>& watched() const { return m_watched; }
-    /// Servers that this instance sends work to.
-    bool uses(const BackendId& id) const { return m_all || m_subset.contains(id); }
-    /// For each peer's address, the servers whose load this instance tells it.
-    const std::map<std::string, std::vector<BackendId>>& tells() const { return m_tells; }
+    /// @return whether this instance sends work to a server
+    bool uses(const BackendId& id) const { return m_usesAll || m_subset.contains(id); }
+    /// @return the servers whose load this instance reports to a peer, by the peer's address
+    const std::map<std::string, std::vector<BackendId>>& tells() const { return m_reportTargets; }
 
 private:
-    bool m_all = true;
+    bool m_usesAll = true;
     std::set<BackendId> m_watched;
     std::set<BackendId> m_subset;
-    std::map<std::string, std::vector<BackendId>> m_tells;
+    std::map<std::string, std::vector<BackendId>> m_reportTargets;
 };
 
 } // namespace crocusmount
--- a/src/requests/ClaimLog.cpp
+++ b/src/requests/ClaimLog.cpp
@@ -137,8 +137,7 @@
         shard.headRevision = event.revision;
         shard.hasUnknownWrite = false;
     } else {
-        // After Unknown, the write may still be committed at any time. A read and a committed later write settle its
-        // outcome.
+        // After Unknown, the write may still be committed at any time, until a later write is committed after a read.
         shard.isCurrent = false;
         shard.hasUnknownWrite = shard.hasUnknownWrite || event.outcome == WriteOutcome::Unknown;
     }
--- a/src/requests/RequestTable.h
+++ b/src/requests/RequestTable.h
@@ -37,9 +37,8 @@
     void arrived(const event::RequestArrived&, const AdmissionState&, const Event&, Effects&);
     /// Cancels the request, unless another request has joined it or it is running and not repeatable.
     void callerLeft(const event::CallerLeft&, TimePoint now, Effects&);
-    /// Delivers a token. Drops a late or duplicated one and one that names another attempt. If a token is missing
-    /// before this one, or the trace differs from the attempt's chain, cancels the attempt and retries or fails the
-    /// request.
+    /// Delivers a token. Drops a late or duplicated one and one that names another attempt. If a token is missing or
+    /// the trace differs from the attempt's chain, cancels the attempt and retries or fails the request.
     void token(const event::TokenReceived&, TimePoint now, Effects&);
     /// Completes the request, or retries or fails it if the answer is truncated.
     void ended(const event::AttemptEnded&, TimePoint now, Effects&);
@@ -91,9 +90,9 @@
     /// Records the end of an attempt for backend load, slowness and the queues.
     void endAttempt(Request&, TimePoint now);
     /// Ends the attempt and queues the request again, or fails it if it may not run again or its limits are spent.
-    /// @param failedBackend  the backend server at fault. If empty, later attempts avoid every server of the chain,
-    /// unless
-    ///                       the attempt was refused
+    /// @param failedBackend  the backend server at fault. If empty, later attempts avoid all servers of the chain,
+    /// except
+    ///                       after a refusal
     void retryOrFail(Request&, Reason, RunState, const BackendId& failedBackend, TimePoint now, Effects&);
     /// Completes the answer of a request and of those that joined it, and caches it by its key.
     void finish(Request&, TimePoint now, Effects&);
--- a/src/routing/BackendTable.h
+++ b/src/routing/BackendTable.h
@@ -23,12 +23,10 @@
     /// Replaces the configured servers. The state of servers that remain is kept.
     void apply(const Configuration&);
 
-    /// Applies a report, which also shows that the server is reachable. Ignores reports of unknown servers and outdated
-    /// reports.
+    /// Applies a report and marks the server reachable. Ignores outdated reports and those of unknown servers.
     /// @param asked     time at which the report was requested; its age counts from here
-    /// @param sequence  sequence set by the watcher that passed the report on; 0 for a probe of this instance. A
-    /// sequence
-    ///                  below the last one is outdated
+    /// @param sequence  set by the watcher that passed the report on, outdated if below the last one; 0 for a probe of
+    ///                  this instance
     /// @return whether there was an earlier report and anything except the load has changed since
     bool report(const BackendReport&, TimePoint asked, TimePoint now, std::uint64_t sequence);
     /// Counts a missed probe.
@@ -51,9 +49,8 @@
     void observeSlowness(const Chain&, double ratio);
 
     /// @param avoid     servers to mark as avoided; they are still returned
-    /// @param headroom  limit on the streams of a server, as a multiple of the streams that fill its slots. Servers
-    /// that
-    ///                  have reached the limit are omitted
+    /// @param headroom  limit on the streams of a server, as a multiple of the streams that fill its slots. A server at
+    ///                  its limit is omitted
     /// @return the stages that can serve a pipeline now
     std::vector<Stage> stagesFor(
         const Pipeline&, TimePoint now, const std::vector<BackendId>& avoid, double headroom) const;
