--- a/src/load/Experiment.cpp
+++ b/src/load/Experiment.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-    /// Reads one member over its default.
+    /// Reads a member of an object into a field. If the member is missing, the field keeps its default.
     template <typename T>
     absl::Status read(const json::object& object, const char* key, T& field)
     {
@@ -28,22 +28,23 @@
         return absl::OkStatus();
     }
 
-    /// Reads a list of objects, each over the defaults of its type.
+    /// Appends the objects of a list. Members missing from an object keep the defaults of its type, and a member that
+    /// is an object is read as its JSON text.
     template <typename T>
     absl::Status readList(const json::object& object, const char* key, std::vector<T>& list)
     {
         const json::value* value = object.if_contains(key);
         if (!value || !value->is_array())
             return value ? absl::InvalidArgumentError(absl::StrCat("/", key, ": expected a list")) : absl::OkStatus();
-        for (const json::value& each : value->as_array()) {
+        for (const json::value& item : value->as_array()) {
             json::object merged = json::value_from(T()).as_object();
-            if (!each.is_object())
+            if (!item.is_object())
                 return absl::InvalidArgumentError(absl::StrCat("/", key, "/", list.size(), ": expected an object"));
-            for (const auto& [name, given] : each.as_object()) {
+            for (const auto& [name, member] : item.as_object()) {
                 if (!merged.contains(name))
                     return absl::InvalidArgumentError(
                         absl::StrCat("/", key, "/", list.size(), "/", std::string(name), ": unknown key"));
-                merged[name] = given.is_object() ? json::value(json::serialize(given)) : given;
+                merged[name] = member.is_object() ? json::value(json::serialize(member)) : member;
             }
             auto result = json::try_value_to<T>(json::value(std::move(merged)));
             if (result.has_error())
--- a/src/load/LoadRun.cpp
+++ b/src/load/LoadRun.cpp
@@ -14,11 +14,14 @@
 
     namespace json = boost::json;
 
-    constexpr std::chrono::milliseconds AnswerSilence { 70000 };
-    constexpr std::chrono::milliseconds PauseBetweenTries { 100 };
+    constexpr std::chrono::milliseconds AnswerIdleTimeout { 70000 }; ///< longest wait for the next part of an answer
+    constexpr std::chrono::milliseconds RetryDelay { 100 };
 
-    /// @return a number in [0, 1), the same for a seed on every machine
-    double unit(pcg64& random) { return static_cast<double>(random() >> 11) / static_cast<double>(1ULL << 53); }
+    /// @return a random number in [0, 1), reproducible from the seed
+    double uniformFraction(pcg64& random)
+    {
+        return static_cast<double>(random() >> 11) / static_cast<double>(1ULL << 53);
+    }
 
     Awaitable<void> sleepUntil(std::chrono::steady_clock::time_point time)
     {
@@ -49,10 +52,10 @@
     double sum = 0;
     for (const auto& each : list)
         sum += each.share;
-    double drawn = unit(m_random) * sum;
+    double remainingShare = uniformFraction(m_random) * sum;
     for (const auto& each : list) {
-        drawn -= each.share;
-        if (drawn < 0)
+        remainingShare -= each.share;
+        if (remainingShare < 0)
             return each;
     }
     return list.back();
@@ -65,7 +68,7 @@
     double atSeconds = 0;
     std::uint64_t number = 0;
     for (;;) {
-        atSeconds += -std::log(1 - unit(m_random)) / m_experiment.requestsPerSecond;
+        atSeconds += -std::log(1 - uniformFraction(m_random)) / m_experiment.requestsPerSecond;
         if (atSeconds >= m_experiment.seconds)
             break;
         const auto& caller = pickByShare(m_experiment.workspaces);
@@ -74,30 +77,30 @@
         record->pipeline = kind.pipeline;
         record->prompt = absl::StrCat(m_experiment.name, "-", m_experiment.seed, "-", ++number);
         record->once = kind.once;
-        const std::uint32_t spread = kind.mostTokens - kind.leastTokens + 1;
-        record->wantedTokens = kind.leastTokens + static_cast<std::uint32_t>(unit(m_random) * spread);
+        const std::uint32_t lengthChoices = kind.mostTokens - kind.leastTokens + 1;
+        record->wantedTokens = kind.leastTokens + static_cast<std::uint32_t>(uniformFraction(m_random) * lengthChoices);
         co_await sleepUntil(m_start + std::chrono::microseconds(static_cast<std::int64_t>(atSeconds * 1e6)));
-        ++m_running;
+        ++m_runningRequests;
         net::co_spawn(m_context.get_executor(), sendOne(*record, caller, kind), net::detached);
         m_records.push_back(std::move(record));
     }
-    while (m_running)
+    while (m_runningRequests)
         co_await sleepUntil(std::chrono::steady_clock::now() + std::chrono::milliseconds(20));
     co_await readLedgers();
 }
 
 Awaitable<std::vector<std::string>> LoadRun::entriesFor(const Experiment::Caller& caller)
 {
-    Entries& known = m_entries[caller.id];
-    if (!known.addresses.empty() && std::chrono::steady_clock::now() < known.validUntil)
-        co_return known.addresses;
-    std::vector<std::string> ask = known.addresses;
-    // Callers are spread over the places that they first ask.
+    EntryList& cachedList = m_entries[caller.id];
+    if (!cachedList.addresses.empty() && std::chrono::steady_clock::now() < cachedList.validUntil)
+        co_return cachedList.addresses;
+    std::vector<std::string> candidates = cachedList.addresses;
+    // Callers start at different instances, so that their first calls are distributed.
     const auto& entries = m_experiment.entries;
     const std::size_t first = std::hash<std::string>()(caller.id) % entries.size();
-    ask.insert(ask.end(), entries.begin() + static_cast<std::ptrdiff_t>(first), entries.end());
-    ask.insert(ask.end(), entries.begin(), entries.begin() + static_cast<std::ptrdiff_t>(first));
-    for (const std::string& address : ask) {
+    candidates.insert(candidates.end(), entries.begin() + static_cast<std::ptrdiff_t>(first), entries.end());
+    candidates.insert(candidates.end(), entries.begin(), entries.begin() + static_cast<std::ptrdiff_t>(first));
+    for (const std::string& address : candidates) {
         HttpCall call;
         call.address = address;
         call.target = "/v1/entries";
@@ -107,14 +110,14 @@
         const json::value* entries = body.if_contains("entries");
         if (answer.status != 200 || !entries)
             continue;
-        Entries fresh;
+        EntryList newList;
         for (const json::value& entry : entries->as_array())
-            fresh.addresses.push_back(textOf(entry.as_object(), "address"));
-        fresh.validUntil
+            newList.addresses.push_back(textOf(entry.as_object(), "address"));
+        newList.validUntil
             = std::chrono::steady_clock::now() + std::chrono::milliseconds(body.at("lifetimeMs").as_int64());
-        if (!fresh.addresses.empty()) {
-            m_entries[caller.id] = fresh;
-            co_return fresh.addresses;
+        if (!newList.addresses.empty()) {
+            m_entries[caller.id] = newList;
+            co_return newList.addresses;
         }
     }
     co_return m_experiment.entries;
@@ -128,19 +131,18 @@
         ++record.tries;
         if (co_await attempt(record, entries[i % entries.size()], caller, kind))
             break;
-        co_await sleepUntil(std::chrono::steady_clock::now() + PauseBetweenTries);
+        co_await sleepUntil(std::chrono::steady_clock::now() + RetryDelay);
     }
     record.endMs = elapsedMs();
-    --m_running;
+    --m_runningRequests;
 }
 
-void LoadRun::judge(LoadRecord& record, const std::string& text, bool ended)
+void LoadRun::checkAnswer(LoadRecord& record, const std::string& text, bool hasEnded)
 {
-    const bool same = text == knownText(record.prompt, record.wantedTokens);
-    record.outcome = ended && same ? "complete" : "wrong";
+    const bool isExpectedText = text == knownText(record.prompt, record.wantedTokens);
+    record.outcome = hasEnded && isExpectedText ? "complete" : "wrong";
 }
 
-/// @return whether the outcome is final; otherwise another instance is to be tried
 Awaitable<bool> LoadRun::attempt(
     LoadRecord& record, const std::string& address, const Experiment::Caller& caller, const Experiment::Kind& kind)
 {
@@ -159,15 +161,15 @@
     if (kind.deadlineMs)
         call.headers.emplace_back("X-Crocusmount-Deadline-Ms", std::to_string(kind.deadlineMs));
     std::string text;
-    std::string whole;
-    bool ended = false;
+    std::string unstreamedBody;
+    bool hasEnded = false;
     json::object error;
     record.tokens = 0;
     record.tokenMs.clear();
     SseParser parser;
     const auto onData = [&](std::string_view data) {
         if (data == "[DONE]") {
-            ended = true;
+            hasEnded = true;
             return true;
         }
         const json::object frame = parseObject(data);
@@ -184,34 +186,34 @@
     const auto receive = [&](std::string_view bytes) {
         if (kind.stream)
             return parser.feed(bytes, onData);
-        whole.append(bytes);
+        unstreamedBody.append(bytes);
         return true;
     };
     HttpClient::Receive onBytes = receive;
-    const HttpAnswer answer = co_await m_client.stream(std::move(call), AnswerSilence, std::move(onBytes), nullptr);
+    const HttpAnswer answer = co_await m_client.stream(std::move(call), AnswerIdleTimeout, std::move(onBytes), nullptr);
     if (answer.phase == CallPhase::Answered && answer.status == 200 && error.empty()) {
         if (!kind.stream) {
-            const json::object reply = parseObject(whole);
+            const json::object reply = parseObject(unstreamedBody);
             text = textOf(reply.at("choices").as_array().at(0).as_object(), "text");
             record.tokens = static_cast<std::uint32_t>(reply.at("usage").at("completion_tokens").as_int64());
             record.firstTokenMs = elapsedMs() - record.startMs;
-            ended = true;
+            hasEnded = true;
         }
-        judge(record, text, ended);
+        checkAnswer(record, text, hasEnded);
         co_return true;
     }
     const json::object problem = error.empty() ? parseObject(answer.body) : error;
     record.outcome = textOf(problem, "reason");
     record.run = textOf(problem, "run");
     if (record.outcome.empty()) {
-        // No final answer: the connection broke. The same key makes asking again safe.
+        // The connection broke before a final answer. A retry is safe because it sends an equal idempotency key.
         record.outcome = "lost";
         record.run = answer.phase == CallPhase::NotConnected ? "not_run" : "may_have_run";
         co_return false;
     }
-    const bool elsewhere
+    const bool isInstanceUnavailable
         = record.outcome == "draining" || record.outcome == "isolated" || record.outcome == "not_ready";
-    co_return !elsewhere;
+    co_return !isInstanceUnavailable;
 }
 
 Awaitable<void> LoadRun::injectFaults()
--- a/src/requests/RequestTable.h
+++ b/src/requests/RequestTable.h
@@ -90,9 +90,8 @@
     /// Records the end of an attempt for backend load, slowness and the queues.
     void endAttempt(Request&, TimePoint now);
     /// Ends the attempt and queues the request again, or fails it if it may not run again or its limits are spent.
-    /// @param failedBackend  the backend server at fault. If empty, later attempts avoid all servers of the chain,
-    /// except
-    ///                       after a refusal
+    /// @param failedBackend  the backend server at fault; if empty, later attempts avoid the whole chain unless the
+    ///                       attempt was refused
     void retryOrFail(Request&, Reason, RunState, const BackendId& failedBackend, TimePoint now, Effects&);
     /// Completes the answer of a request and of those that joined it, and caches it by its key.
     void finish(Request&, TimePoint now, Effects&);
