--- a/tests/ClaimLogTest.cpp
+++ b/tests/ClaimLogTest.cpp
@@ -13,8 +13,9 @@
         harness.reportAll();
     }
 
-    /// Lets the first read find an empty log; the write follows.
-    effect::AppendClaims readEmpty()
+    /// Answers the first read of the log with an empty log.
+    /// @return the write that follows
+    effect::AppendClaims readEmptyLog()
     {
         harness.send(event::ClaimsRead { ShardId(0), true, 0, 0, {} });
         harness.tick(std::chrono::milliseconds(60));
@@ -24,74 +25,74 @@
     }
 };
 
-TEST(ClaimLog, NothingIsDispatchedBeforeTheClaimIsCommitted)
+TEST(ClaimLog, RequestIsNotDispatchedBeforeItsClaimIsCommitted)
 {
     harness.request(ReducerHarness::onceSpec("k"));
     CHECK_EQUAL(0U, harness.count<effect::StartAttempt>());
     CHECK_EQUAL(1U, harness.count<effect::ReadClaims>());
-    const auto append = readEmpty();
+    const auto append = readEmptyLog();
     CHECK_EQUAL(1U, append.claims.size());
     CHECK_EQUAL(0U, harness.count<effect::StartAttempt>());
     harness.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Committed, 5 });
     CHECK_EQUAL(1U, harness.count<effect::StartAttempt>());
 }
 
-TEST(ClaimLog, AKeyThatAnotherInstanceHasIsNotRunHere)
+TEST(ClaimLog, RequestFailsIfAnotherInstanceHasClaimedItsKey)
 {
     harness.request(ReducerHarness::onceSpec("k"));
-    const auto append = readEmpty();
+    const auto append = readEmptyLog();
     harness.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Conflict, 9 });
     harness.tick(std::chrono::milliseconds(60));
     CHECK_EQUAL(1U, harness.count<effect::ReadClaims>());
-    Claim theirs = append.claims.front();
-    theirs.nonce = "e2/1/1";
-    harness.send(event::ClaimsRead { ShardId(0), true, 9, 1, { ClaimBatch { 1, harness.now(), { theirs } } } });
+    Claim otherClaim = append.claims.front();
+    otherClaim.nonce = "e2/1/1";
+    harness.send(event::ClaimsRead { ShardId(0), true, 9, 1, { ClaimBatch { 1, harness.now(), { otherClaim } } } });
     const auto failure = harness.last<effect::FailAnswer>();
     CHECK_TRUE(failure->reason == Reason::KeyClaimed);
     CHECK_TRUE(failure->run == RunState::MayHaveRun);
     CHECK_EQUAL(0U, harness.count<effect::StartAttempt>());
 }
 
-TEST(ClaimLog, ALostReplyIsSettledByReadingBack)
+TEST(ClaimLog, WriteWithUnknownOutcomeIsResolvedByReadingTheLog)
 {
     const struct {
         const char* name;
-        bool landed;
-        std::size_t starts;
-        std::size_t appends;
-    } cases[] = { { "landed", true, 1, 0 }, { "did not land", false, 0, 1 } };
-    for (const auto& each : cases) {
-        ReducerHarness fresh;
-        fresh.configure();
-        fresh.reportAll();
-        fresh.request(ReducerHarness::onceSpec("k"));
-        fresh.send(event::ClaimsRead { ShardId(0), true, 0, 0, {} });
-        fresh.tick(std::chrono::milliseconds(60));
-        const auto append = *fresh.last<effect::AppendClaims>();
-        fresh.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Unknown, 0 });
-        CHECK_EQUAL_TEXT(0U, fresh.count<effect::StartAttempt>(), each.name);
-        fresh.tick(std::chrono::milliseconds(60));
-        CHECK_EQUAL_TEXT(1U, fresh.count<effect::ReadClaims>(), each.name);
+        bool isCommitted;
+        std::size_t expectedStarts;
+        std::size_t expectedAppends;
+    } cases[] = { { "write was committed", true, 1, 0 }, { "write was not committed", false, 0, 1 } };
+    for (const auto& testCase : cases) {
+        ReducerHarness caseHarness;
+        caseHarness.configure();
+        caseHarness.reportAll();
+        caseHarness.request(ReducerHarness::onceSpec("k"));
+        caseHarness.send(event::ClaimsRead { ShardId(0), true, 0, 0, {} });
+        caseHarness.tick(std::chrono::milliseconds(60));
+        const auto append = *caseHarness.last<effect::AppendClaims>();
+        caseHarness.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Unknown, 0 });
+        CHECK_EQUAL_TEXT(0U, caseHarness.count<effect::StartAttempt>(), testCase.name);
+        caseHarness.tick(std::chrono::milliseconds(60));
+        CHECK_EQUAL_TEXT(1U, caseHarness.count<effect::ReadClaims>(), testCase.name);
         event::ClaimsRead read { ShardId(0), true, 0, 0, {} };
-        if (each.landed)
-            read = { ShardId(0), true, 7, 1, { ClaimBatch { 1, fresh.now(), append.claims } } };
-        fresh.send(read);
-        CHECK_EQUAL_TEXT(each.starts, fresh.count<effect::StartAttempt>(), each.name);
-        fresh.tick(std::chrono::milliseconds(60));
-        CHECK_EQUAL_TEXT(each.appends, fresh.count<effect::AppendClaims>(), each.name);
+        if (testCase.isCommitted)
+            read = { ShardId(0), true, 7, 1, { ClaimBatch { 1, caseHarness.now(), append.claims } } };
+        caseHarness.send(read);
+        CHECK_EQUAL_TEXT(testCase.expectedStarts, caseHarness.count<effect::StartAttempt>(), testCase.name);
+        caseHarness.tick(std::chrono::milliseconds(60));
+        CHECK_EQUAL_TEXT(testCase.expectedAppends, caseHarness.count<effect::AppendClaims>(), testCase.name);
     }
 }
 
-TEST(ClaimLog, WithoutTheStoreTheAnswerIsNotRunAndTheKeyIsGivenBack)
+TEST(ClaimLog, ClaimTimeoutFailsTheRequestAsNotRunAndReleasesTheKey)
 {
     harness.request(ReducerHarness::onceSpec("k"));
-    readEmpty();
+    readEmptyLog();
     harness.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Unknown, 0 });
     harness.tick(std::chrono::seconds(3));
     const auto failure = harness.last<effect::FailAnswer>();
     CHECK_TRUE(failure->reason == Reason::StoreUnavailable);
     CHECK_TRUE(failure->run == RunState::NotRun);
-    // The write in doubt may land yet; the key is given back in a write that rules it out.
+    // The earlier write may still be committed. The write of the release moves the head, so that this is ruled out.
     harness.send(event::ClaimsRead { ShardId(0), true, 0, 0, {} });
     harness.tick(std::chrono::milliseconds(60));
     const auto append = harness.last<effect::AppendClaims>();
@@ -99,17 +100,17 @@
     CHECK_TRUE(append->claims.front().released);
 }
 
-TEST(ClaimLog, OneWriteCarriesManyClaims)
+TEST(ClaimLog, OneWriteContainsAllPendingClaims)
 {
     for (int i = 0; i < 8; ++i)
         harness.request(ReducerHarness::onceSpec("k" + std::to_string(i)));
-    CHECK_EQUAL(8U, readEmpty().claims.size());
+    CHECK_EQUAL(8U, readEmptyLog().claims.size());
 }
 
-TEST(ClaimLog, AFailedOnceRequestIsNotTriedAgain)
+TEST(ClaimLog, NonRepeatableRequestThatMayHaveRunIsNotRetried)
 {
     harness.request(ReducerHarness::onceSpec("k"));
-    readEmpty();
+    readEmptyLog();
     harness.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Committed, 5 });
     const auto start = *harness.last<effect::StartAttempt>();
     harness.send(event::AttemptFailed { start.attempt, Reason::ConnectionLost, RunState::MayHaveRun, BackendId("a1") });
@@ -117,10 +118,10 @@
     CHECK_TRUE(harness.last<effect::FailAnswer>()->run == RunState::MayHaveRun);
 }
 
-TEST(ClaimLog, ARefusedOnceRequestIsTriedElsewhere)
+TEST(ClaimLog, NonRepeatableRequestThatDidNotRunIsRetried)
 {
     harness.request(ReducerHarness::onceSpec("k"));
-    readEmpty();
+    readEmptyLog();
     harness.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Committed, 5 });
     const auto start = *harness.last<effect::StartAttempt>();
     harness.send(event::AttemptFailed { start.attempt, Reason::ConnectFailed, RunState::NotRun, BackendId("a1") });
