--- a/src/load/Experiment.cpp
+++ b/src/load/Experiment.cpp
@@ -28,8 +28,8 @@
         return absl::OkStatus();
     }
 
-    /// Appends the objects of a list. Members missing from an object keep the defaults of its type, and a member that
-    /// is an object is read as its JSON text.
+    /// Appends the objects of a JSON list. Missing members keep the defaults of the type. A member that is itself an
+    /// object is stored as JSON text.
     template <typename T>
     absl::Status readList(const json::object& object, const char* key, std::vector<T>& list)
     {
--- a/src/load/LoadReport.cpp
+++ b/src/load/LoadReport.cpp
@@ -52,7 +52,8 @@
         return longestGaps;
     }
 
-    /// @return the number of tokens and of completed answers in each second of the run
+    /// @return the number of tokens and of completed answers in each second of the run. The tokens of an answer that is
+    ///         not streamed count at its end
     json::array timelineOf(const LoadRun& run)
     {
         std::vector<std::uint64_t> tokenCount;
--- a/src/load/LoadRun.cpp
+++ b/src/load/LoadRun.cpp
@@ -95,7 +95,7 @@
     if (!cachedList.addresses.empty() && std::chrono::steady_clock::now() < cachedList.validUntil)
         co_return cachedList.addresses;
     std::vector<std::string> candidates = cachedList.addresses;
-    // Callers start at different instances, so that their first calls are distributed.
+    // Callers start at different instances, so that the first calls are distributed over all.
     const auto& entries = m_experiment.entries;
     const std::size_t first = std::hash<std::string>()(caller.id) % entries.size();
     candidates.insert(candidates.end(), entries.begin() + static_cast<std::ptrdiff_t>(first), entries.end());
--- a/src/membership/Membership.h
+++ b/src/membership/Membership.h
@@ -38,7 +38,7 @@
     std::vector<MemberUpdate> members() const;
     /// @return this instance and those that are neither dead nor leaving, in order of id
     std::vector<MemberUpdate> live() const;
-    /// @return a count that grows with each change of the state of an instance
+    /// @return a count that grows with each change of the state or incarnation of an instance
     std::uint64_t version() const { return m_version; }
     /// @return whether this instance is one of those that watch the store for its data centre
     bool followsStore() const;
--- a/src/requests/ClaimLog.cpp
+++ b/src/requests/ClaimLog.cpp
@@ -137,7 +137,8 @@
         shard.headRevision = event.revision;
         shard.hasUnknownWrite = false;
     } else {
-        // After Unknown, the write may still be committed at any time, until a later write is committed after a read.
+        // After Unknown, the write may still be committed at any time. A read of the log that contains the write
+        // settles its outcome. If the read does not contain it, only a further committed write rules it out.
         shard.isCurrent = false;
         shard.hasUnknownWrite = shard.hasUnknownWrite || event.outcome == WriteOutcome::Unknown;
     }
--- a/src/requests/RequestTable.cpp
+++ b/src/requests/RequestTable.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-    constexpr Duration DefaultRetryAfter = std::chrono::seconds(1);
+    constexpr Duration MinRetryAfter = std::chrono::seconds(1);
     constexpr double UnlimitedHeadroom = std::numeric_limits<double>::infinity();
-    constexpr std::size_t MaxAvoidedBackends = 16;
+    constexpr std::size_t MaxAvoidedBackends = 16; ///< per request
 
     /// Lookups and service calls precede generations. Within a kind, resumed streams precede new requests, and then the
     /// caller's priority decides.
@@ -163,7 +163,7 @@
 {
     const FairQueue& waiting = m_queues[pipeline.id].waiting;
     if (waiting.size() >= m_options.queueLimit) {
-        retryAfter = std::max(DefaultRetryAfter, estimatedWait(pipeline.id, waiting.size() / 2));
+        retryAfter = std::max(MinRetryAfter, estimatedWait(pipeline.id, waiting.size() / 2));
         return Reason::QueueFull;
     }
     const PipelineStats& stats = m_stats[pipeline.id];
@@ -172,7 +172,7 @@
     const Duration serviceTime = toDuration(stats.firstTokenMicros + stats.tokenGapMicros * (spec.maxTokens - 1));
     if (queueWait + serviceTime <= timeout)
         return std::nullopt;
-    retryAfter = std::max(DefaultRetryAfter, queueWait + serviceTime - timeout);
+    retryAfter = std::max(MinRetryAfter, queueWait + serviceTime - timeout);
     return Reason::DeadlineTooShort;
 }
 
@@ -183,7 +183,7 @@
     const RequestSpec& spec = arrival.spec;
     if (const auto reason = refusalReason(spec, admission)) {
         const bool isTemporary = *reason == Reason::Draining || *reason == Reason::Isolated;
-        return refuse(arrival.request, *reason, isTemporary ? DefaultRetryAfter : Duration(0), effects);
+        return refuse(arrival.request, *reason, isTemporary ? MinRetryAfter : Duration(0), effects);
     }
     const std::string keyHash
         = spec.idempotencyKey.empty() ? std::string() : hashKey(spec.workspace, spec.idempotencyKey);
@@ -227,7 +227,7 @@
     Request* request = find(primary);
     if (!request || !request->hasCallerLeft || !request->joinedRequests.empty())
         return;
-    // A non-repeatable request runs to its end, so that its caller can still get the answer with the idempotency key.
+    // A non-repeatable request that is running continues, so that its caller can still get the answer by its key.
     if (!request->spec.repeatable && request->state == RequestState::Running)
         return;
     cancel(*request, Reason::CallerGone, now, effects);
@@ -436,12 +436,12 @@
     if (!mayRunAgain)
         return fail(request, Reason::NotRepeatable, effects);
     if (request.attempts >= m_options.maxAttempts)
-        return fail(request, Reason::RetriesSpent, effects, DefaultRetryAfter);
+        return fail(request, Reason::RetriesSpent, effects, MinRetryAfter);
     RetryBudget& workspaceBudget
         = m_workspaceBudgets.try_emplace(request.spec.workspace, m_options.retryRatio, m_options.retryBurst)
               .first->second;
     if (!workspaceBudget.spend() || !m_retryBudget.spend())
-        return fail(request, Reason::RetryBudgetSpent, effects, DefaultRetryAfter);
+        return fail(request, Reason::RetryBudgetSpent, effects, MinRetryAfter);
     enqueue(request, true);
 }
 
@@ -515,7 +515,7 @@
             request->mayHaveRun = true;
             fail(*request, Reason::KeyClaimed, effects);
         } else {
-            fail(*request, Reason::StoreUnavailable, effects, DefaultRetryAfter);
+            fail(*request, Reason::StoreUnavailable, effects, MinRetryAfter);
         }
     }
 }
@@ -565,8 +565,7 @@
         Request& request = next->second;
         ++next; // The calls below may remove this request, but no other.
         if (now >= request.deadline) {
-            cancel(request, request.hasNoRoute ? Reason::NoRoute : Reason::DeadlinePassed, now, effects,
-                DefaultRetryAfter);
+            cancel(request, request.hasNoRoute ? Reason::NoRoute : Reason::DeadlinePassed, now, effects, MinRetryAfter);
         } else if (request.state == RequestState::Running) {
             checkStall(request, now, effects);
         }
--- a/src/requests/RequestTable.h
+++ b/src/requests/RequestTable.h
@@ -35,7 +35,8 @@
 
     /// Answers, joins, refuses or queues a new request.
     void arrived(const event::RequestArrived&, const AdmissionState&, const Event&, Effects&);
-    /// Cancels the request, unless another request has joined it or it is running and not repeatable.
+    /// Removes a joined request. Cancels a request when its caller and those of all joined ones have left, unless it is
+    /// running and not repeatable.
     void callerLeft(const event::CallerLeft&, TimePoint now, Effects&);
     /// Delivers a token. Drops a late or duplicated one and one that names another attempt. If a token is missing or
     /// the trace differs from the attempt's chain, cancels the attempt and retries or fails the request.
@@ -44,12 +45,14 @@
     void ended(const event::AttemptEnded&, TimePoint now, Effects&);
     /// Retries the request if its limits permit, else fails it.
     void failed(const event::AttemptFailed&, TimePoint now, Effects&);
+    /// Continues the requests whose claims are decided by a read of the log.
     void claimsRead(const event::ClaimsRead&, TimePoint now, Effects&);
+    /// Continues the requests whose claims are decided by a write to the log.
     void claimsAppended(const event::ClaimsAppended&, TimePoint now, Effects&);
     /// Checks deadlines and stalls, and starts store calls for claims that are due.
     void tick(TimePoint now, Effects&);
-    /// Dispatches the queued requests for which a chain has capacity. Called once after every event. Returns at once if
-    /// neither a queue nor the capacity changed.
+    /// Dispatches the queued requests for which a chain has capacity. Called once after every event, and cheap if
+    /// neither a queue nor the capacity has changed.
     void dispatch(const Event&, Effects&);
     /// Called when a backend server or peer reported, so that queued requests may be dispatched now.
     void roomMayHaveChanged() { unblockQueues(); }
@@ -81,6 +84,7 @@
     /// @return why the request is refused because of the load, or nothing if it may be queued
     std::optional<Reason> queueRefusalReason(
         const RequestSpec&, const Pipeline&, Duration timeout, Duration& retryAfter);
+    /// Fails a request that was never stored.
     void refuse(RequestId, Reason, Duration retryAfter, Effects&);
 
     /// @param front  whether the request goes before the waiting ones of its workspace
@@ -100,8 +104,11 @@
     void fail(Request&, Reason, Effects&, Duration retryAfter = Duration(0));
     /// Cancels the attempt in progress, if any, and fails the request.
     void cancel(Request&, Reason, TimePoint now, Effects&, Duration retryAfter = Duration(0));
+    /// Removes a request, with those that joined it, from all tables and queues.
     void remove(Request&);
+    /// Queues the requests that won their claim and fails the others.
     void applyClaimDecisions(const std::vector<ClaimDecision>&, Effects&);
+    /// Dispatches requests of one queue until one finds no chain with capacity.
     void dispatchQueue(const Pipeline&, Queue&, const Event&, Effects&);
     /// Retries a repeatable request whose attempt has produced no token for too long.
     void checkStall(Request&, TimePoint now, Effects&);
@@ -110,6 +117,7 @@
     /// @param ahead  number of requests before a new one
     /// @return the expected time in the queue; 0 if the throughput is unknown
     Duration estimatedWait(const PipelineId&, std::size_t ahead) const;
+    /// Lets all queues try to dispatch again.
     void unblockQueues();
 
     const ReducerOptions& m_options;
@@ -119,8 +127,8 @@
     std::unique_ptr<ChainPicker> m_picker;
     ClaimLog m_claims;
     AnswerCache m_answerCache;
-    RetryBudget m_retryBudget;
-    std::map<WorkspaceId, RetryBudget> m_workspaceBudgets;
+    RetryBudget m_retryBudget; ///< for all workspaces together
+    std::map<WorkspaceId, RetryBudget> m_workspaceBudgets; ///< in addition to m_retryBudget
     std::map<PipelineId, Queue> m_queues;
     std::map<PipelineId, PipelineStats> m_stats;
     std::map<RequestId, Request> m_requests;
--- a/src/routing/BackendTable.cpp
+++ b/src/routing/BackendTable.cpp
@@ -9,10 +9,12 @@
 
 namespace {
 
-    constexpr double SlownessGain = 0.2; ///< of the moving average of a server's slowness
+    constexpr double SlownessGain = 0.2; ///< weight of a new sample in the moving average of the slowness
     constexpr double ToleratedSlowness = 1.5; ///< servers with a lower ratio of token gaps keep their full weight
-    constexpr double OthersStreamsGain = 0.3; ///< an average, as streams may be shorter than the lag of a report
-    constexpr double MinWeight = 0.05; ///< keeps some work on slow and recovering servers
+    /// Weight of a new sample in the moving average of the streams of other instances. An average is used because
+    /// streams may be shorter than the lag of a report.
+    constexpr double OthersStreamsGain = 0.3;
+    constexpr double MinWeight = 0.05; ///< lower limit for slow and recovering servers
 
     /// Computes how many streams keep all slots of a server busy. If all stages run equally fast, a stream spends a
     /// fraction of its time at each stage that equals the stage's fraction of the layers. The latency of the hop to the
--- a/src/routing/BackendTable.h
+++ b/src/routing/BackendTable.h
@@ -59,7 +59,7 @@
     std::vector<BackendNews> news(TimePoint now) const;
     /// @return the last known state of a server, or nothing if the server is unknown
     std::optional<BackendNews> newsOf(const BackendId&, TimePoint now) const;
-    /// Sets the servers that this instance may send work to.
+    /// Sets the servers that this instance may send work to, from the plan.
     void setSubset(const WatchPlan&);
     /// @return a count that grows with each change of the configuration, of a server's reachability, or of a reported
     ///         model, layer range, generation or leaving state
@@ -94,9 +94,9 @@
     static BackendNews newsOf(const Entry&, TimePoint now);
 
     const ReducerOptions& m_options;
-    std::vector<Entry> m_entries; ///< entries are never removed, so an index stays valid for the life of the process
+    std::vector<Entry> m_entries; ///< entries are never removed, so indexes stay valid
     std::map<BackendId, std::uint32_t> m_indexes; ///< positions in m_entries
-    std::uint64_t m_version = 1;
+    std::uint64_t m_version = 1; ///< see version()
 };
 
 } // namespace crocusmount
--- a/src/routing/Pickers.cpp
+++ b/src/routing/Pickers.cpp
@@ -20,7 +20,7 @@
 
     constexpr double NoPathCost = std::numeric_limits<double>::infinity();
     constexpr double AvoidedStageCost = 100; ///< far above usual costs, so that avoided stages are a last resort
-    constexpr double RecentPickDecay = 0.95; ///< factor per further pick
+    constexpr double RecentPickDecay = 0.95; ///< factor applied to all counts at each pick
     constexpr double RecentPickWeight = 1; ///< streams that one recent pick counts as
 
     /// The cheapest path from each layer to the end of the model, indexed by layer.
