--- a/src/shell/AnswerChannel.h
+++ b/src/shell/AnswerChannel.h
@@ -10,60 +10,65 @@
 
 namespace crocusmount {
 
-/// Carries one answer from the core's effects to the coroutine that writes it to the caller.
+/// Passes the tokens and the result of one request from the node to the coroutine that writes the response.
 class AnswerChannel {
 public:
     explicit AnswerChannel(net::io_context& context)
-        : m_wake(context.get_executor())
+        : m_wakeTimer(context.get_executor())
     {
-        m_wake.expires_at(std::chrono::steady_clock::time_point::max());
+        m_wakeTimer.expires_at(std::chrono::steady_clock::time_point::max());
     }
 
-    /// What came since the last look.
+    /// Everything that was passed to the channel since the last call of next().
     struct Batch {
         std::vector<std::string> tokens;
-        bool completed = false;
-        std::optional<effect::FailAnswer> failure;
+        bool completed = false; ///< no more tokens follow
+        std::optional<effect::FailAnswer> failure; ///< set if the request has failed
     };
 
+    /// Adds a token.
     void push(std::string token)
     {
         m_batch.tokens.push_back(std::move(token));
-        m_wake.cancel();
+        m_wakeTimer.cancel();
     }
 
+    /// Ends the answer successfully.
     void complete()
     {
         m_batch.completed = true;
-        m_wake.cancel();
+        m_wakeTimer.cancel();
     }
 
+    /// Ends the answer with an error.
     void fail(const effect::FailAnswer& failure)
     {
         m_batch.failure = failure;
-        m_wake.cancel();
+        m_wakeTimer.cancel();
     }
 
-    /// Ends the wait of a coroutine whose caller has gone.
+    /// Wakes the waiting coroutine because the caller has disconnected.
     void abandon()
     {
-        m_abandoned = true;
-        m_wake.cancel();
+        m_isAbandoned = true;
+        m_wakeTimer.cancel();
     }
-    bool abandoned() const { return m_abandoned; }
+    /// @return whether the caller has disconnected
+    bool abandoned() const { return m_isAbandoned; }
 
-    /// Waits until something came.
+    /// Waits for a token, the end of the answer or abandon().
+    /// @return everything since the last call; empty after abandon() if nothing else was passed
     Awaitable<Batch> next()
     {
-        while (m_batch.tokens.empty() && !m_batch.completed && !m_batch.failure && !m_abandoned)
-            co_await m_wake.async_wait(net::as_tuple(useAwaitable));
+        while (m_batch.tokens.empty() && !m_batch.completed && !m_batch.failure && !m_isAbandoned)
+            co_await m_wakeTimer.async_wait(net::as_tuple(useAwaitable));
         co_return std::exchange(m_batch, Batch());
     }
 
 private:
-    Timer m_wake;
+    Timer m_wakeTimer; ///< never expires; cancelled to wake next()
     Batch m_batch;
-    bool m_abandoned = false;
+    bool m_isAbandoned = false;
 };
 
 } // namespace crocusmount
--- a/src/shell/BackendClient.h
+++ b/src/shell/BackendClient.h
@@ -7,15 +7,20 @@
 
 namespace crocusmount {
 
-/// Carries attempts and probes to backend servers and brings back what happens to them as events.
+/// Sends attempts and health probes to backend servers and posts their results as events.
 class BackendClient {
 public:
+    /// Posts an event to the node.
     using Post = std::function<void(EventBody)>;
 
     virtual ~BackendClient() = default;
+    /// Starts an attempt. Its tokens, end or failure are posted as events.
     void start(const effect::StartAttempt& attempt) { onStart(attempt); }
+    /// Cancels an attempt. No more events are posted for it.
     void cancel(AttemptId attempt) { onCancel(attempt); }
-    /// @param service  the server is a plain service, which reports only that it answers
+    /// Sends a health probe and posts BackendReported or BackendUnreachable.
+    /// @param service  configuration of the server if it is a plain service, which returns no load report; null for
+    ///     other servers
     void probe(const effect::ProbeBackend& probe, const BackendServer* service) { onProbe(probe, service); }
 
 private:
--- a/src/shell/CallStory.cpp
+++ b/src/shell/CallStory.cpp
@@ -12,10 +12,11 @@
 
     namespace json = boost::json;
 
-    /// What is believed of an engine matters from so long before the call's first line until its last.
-    constexpr std::int64_t BeliefLeadMs = 2000;
+    /// The timeline shows lines about engines from this many milliseconds before the first line of the call to its
+    /// last.
+    constexpr std::int64_t EngineStateLeadMs = 2000;
 
-    /// @return the engine that a line of state is about; empty if it is about none
+    /// @return the engine whose state or order the line logs; empty if the line is of another kind
     std::string engineOf(const json::object& line)
     {
         const std::string what = textOf(line, "what");
@@ -24,9 +25,10 @@
         return what == "engine_checked" || what == "order" ? textOf(line, "engine") : std::string();
     }
 
+    /// @return the time of a line in milliseconds; zero if it has none
     std::int64_t timeOf(const json::object& line) { return numberOf(line, "time_ms"); }
 
-    /// @return what the call has in common with its repeats, as its lines say; empty if none does
+    /// @return the id that a call shares with its repeats, from the first line that has one; empty if none has
     std::string requestOf(const std::vector<json::object>& lines)
     {
         for (const json::object& line : lines) {
@@ -49,30 +51,30 @@
 {
 }
 
-void CallStory::take(std::string_view text)
+void CallStory::take(std::string_view rawLine)
 {
-    const std::size_t begin = text.find('{');
+    const std::size_t begin = rawLine.find('{');
     if (begin == std::string_view::npos) {
-        m_unreadable += text.empty() ? 0 : 1;
+        m_unreadable += rawLine.empty() ? 0 : 1;
         return;
     }
-    json::object line = parseObject(std::string(text.substr(begin)));
+    json::object line = parseObject(std::string(rawLine.substr(begin)));
     if (!timeOf(line)) {
         ++m_unreadable;
         return;
     }
     if (textOf(line, "call") == m_call)
-        m_lines.push_back(std::move(line));
+        m_callLines.push_back(std::move(line));
     else if (textOf(line, "call").empty() && !textOf(line, "request").empty())
-        m_verdicts.push_back(std::move(line));
+        m_requestLines.push_back(std::move(line));
     else if (!engineOf(line).empty())
-        m_beliefs.push_back(std::move(line));
+        m_engineLines.push_back(std::move(line));
 }
 
 std::set<std::string> CallStory::engines() const
 {
     std::set<std::string> engines;
-    for (const json::object& line : m_lines) {
+    for (const json::object& line : m_callLines) {
         if (const std::string server = textOf(line, "server"); !server.empty())
             engines.insert(server);
         const std::string chain = textOf(line, "chain");
@@ -84,26 +86,27 @@
 
 std::vector<json::object> CallStory::lines() const
 {
-    std::vector<json::object> all = m_lines;
+    std::vector<json::object> all = m_callLines;
     sortByTime(all);
     if (all.empty())
         return all;
     const std::int64_t first = timeOf(all.front());
     const std::int64_t last = timeOf(all.back());
-    const std::set<std::string> used = engines();
+    const std::set<std::string> usedEngines = engines();
     std::set<std::string> instances;
-    for (const json::object& line : m_lines)
+    for (const json::object& line : m_callLines)
         instances.insert(textOf(line, "instance"));
-    for (const json::object& belief : m_beliefs) {
-        const std::int64_t time = timeOf(belief);
-        const bool concerns = instances.count(textOf(belief, "instance")) || textOf(belief, "what") == "order";
-        if (concerns && time >= first - BeliefLeadMs && time <= last && used.count(engineOf(belief)))
-            all.push_back(belief);
+    for (const json::object& engineLine : m_engineLines) {
+        const std::int64_t time = timeOf(engineLine);
+        const bool isRelevant
+            = instances.count(textOf(engineLine, "instance")) || textOf(engineLine, "what") == "order";
+        if (isRelevant && time >= first - EngineStateLeadMs && time <= last && usedEngines.count(engineOf(engineLine)))
+            all.push_back(engineLine);
     }
-    const std::string request = requestOf(m_lines);
-    for (const json::object& verdict : m_verdicts) {
-        if (!request.empty() && textOf(verdict, "request") == request && timeOf(verdict) <= last)
-            all.push_back(verdict);
+    const std::string request = requestOf(m_callLines);
+    for (const json::object& requestLine : m_requestLines) {
+        if (!request.empty() && textOf(requestLine, "request") == request && timeOf(requestLine) <= last)
+            all.push_back(requestLine);
     }
     sortByTime(all);
     for (json::object& line : all)
@@ -118,8 +121,8 @@
         absl::StrAppend(
             &text, numberOf(line, "since_ms"), " ms  ", textOf(line, "instance"), "  ", textOf(line, "what"));
         for (const auto& [name, value] : line) {
-            const bool shown = name == "time_ms" || name == "instance" || name == "what" || name == "call";
-            if (!shown && name != "since_ms")
+            const bool isOmitted = name == "time_ms" || name == "instance" || name == "what" || name == "call";
+            if (!isOmitted && name != "since_ms")
                 absl::StrAppend(&text, "  ", std::string(name), "=", json::serialize(value));
         }
         absl::StrAppend(&text, "\n");
--- a/src/shell/CallStory.h
+++ b/src/shell/CallStory.h
@@ -8,33 +8,39 @@
 
 namespace crocusmount {
 
-/// One call's life, put together from the log lines of all instances: its own lines, what the instances that carried it
-/// believed meanwhile of its engines, the orders to these, and what any instance held against its request before.
+/// The timeline of one call, collected from the decision logs of all instances. It holds:
+/// - the log lines of the call
+/// - the states of its engines as seen by the instances that handled it
+/// - the orders of any instance to its engines
+/// - log lines of any instance about its request, such as a quarantine
 class CallStory {
 public:
-    /// @param call  the caller's id of the call
+    /// @param call  id of the call, as in the field "call" of the logs
     explicit CallStory(std::string call);
 
-    /// Takes in one line. What stands before the first brace, such as a time or a host, is passed over; a line without
-    /// a JSON object with a time is no log line and is counted.
+    /// Adds one line of a log. Text before the first brace, such as a time or a host, is ignored. A line that has no
+    /// JSON object with a time is counted as unreadable, unless it is empty.
     void take(std::string_view line);
 
-    /// @return whether any line names the call
-    bool isKnown() const { return !m_lines.empty(); }
+    /// @return whether a log line of the call was added
+    bool isKnown() const { return !m_callLines.empty(); }
+    /// @return the number of lines that could not be read
     std::uint64_t unreadable() const { return m_unreadable; }
 
-    /// @return the lines in order of time, one object each with "since_ms" from the first
+    /// @return the log lines by time; "since_ms" is added: milliseconds since the first line of the call
     std::vector<boost::json::object> lines() const;
-    /// @return the same as text: milliseconds since the first, instance, what, fields
+    /// @return lines() as text, one per line: milliseconds since the first line of the call, instance, what, other
+    /// fields
     std::string text() const;
 
 private:
+    /// @return the engines that the lines of the call name
     std::set<std::string> engines() const;
 
     std::string m_call;
-    std::vector<boost::json::object> m_lines; ///< that name the call
-    std::vector<boost::json::object> m_beliefs; ///< on engines
-    std::vector<boost::json::object> m_verdicts; ///< on requests under which servers ended
+    std::vector<boost::json::object> m_callLines; ///< of the call
+    std::vector<boost::json::object> m_engineLines; ///< about engines: their states, and orders to them
+    std::vector<boost::json::object> m_requestLines; ///< about requests under which servers ended, without a call
     std::uint64_t m_unreadable = 0;
 };
 
--- a/src/shell/CallerApi.cpp
+++ b/src/shell/CallerApi.cpp
@@ -17,10 +17,13 @@
     namespace json = boost::json;
 
     constexpr std::uint32_t DefaultMaxTokens = 16;
-    constexpr std::size_t LongestKey = 255;
+    constexpr std::size_t MaxIdempotencyKeyBytes = 255;
 
-    std::string quoted(const std::string& text) { return json::serialize(json::string(text)); }
+    /// @return the text as a JSON string with quotes
+    std::string toJsonString(const std::string& text) { return json::serialize(json::string(text)); }
 
+    /// @param chunk  a part of a stream instead of a whole answer
+    /// @return the value of "object" in an answer
     std::string objectName(bool chat, bool chunk)
     {
         if (chat)
@@ -28,28 +31,30 @@
         return "text_completion";
     }
 
-    /// The parts of a streamed chunk around the token's text, made once for a stream.
-    struct ChunkFrame {
-        std::string before;
-        std::string after;
+    /// The constant parts of a streamed chunk, rendered once per stream. A token is inserted between them.
+    struct ChunkTemplate {
+        std::string prefix;
+        std::string suffix;
 
-        ChunkFrame(const std::string& id, const std::string& model, bool chat)
+        ChunkTemplate(const std::string& id, const std::string& model, bool chat)
         {
-            before = absl::StrCat("data: {\"id\":", quoted(id), ",\"object\":\"", objectName(chat, true),
-                "\",\"model\":", quoted(model), ",\"choices\":[{\"index\":0,",
+            prefix = absl::StrCat("data: {\"id\":", toJsonString(id), ",\"object\":\"", objectName(chat, true),
+                "\",\"model\":", toJsonString(model), ",\"choices\":[{\"index\":0,",
                 chat ? "\"delta\":{\"content\":" : "\"text\":");
-            after = chat ? "},\"finish_reason\":null}]}\n\n" : ",\"finish_reason\":null}]}\n\n";
+            suffix = chat ? "},\"finish_reason\":null}]}\n\n" : ",\"finish_reason\":null}]}\n\n";
         }
 
         void append(std::string& out, const std::string& token) const
         {
-            out += before;
-            out += quoted(token);
-            out += after;
+            out += prefix;
+            out += toJsonString(token);
+            out += suffix;
         }
     };
 
-    std::string promptOf(const json::object& body, bool chat, absl::Status& status)
+    /// Reads the prompt of a completion, or joins the messages of a chat as lines of "role: content".
+    /// @param status  set to InvalidArgument if the field is missing or malformed
+    std::string readPrompt(const json::object& body, bool chat, absl::Status& status)
     {
         const json::value* value = body.if_contains(chat ? "messages" : "prompt");
         if (!chat) {
@@ -77,11 +82,12 @@
         return prompt;
     }
 
-    /// Reads a whole number from a header.
-    /// @return false where the header is there and is not one between the bounds
-    bool readNumber(const std::string& text, std::int64_t least, std::int64_t most, std::int64_t& number)
+    /// Parses the value of a header as an integer.
+    /// @param text  value of the header; empty: the header is missing, and number keeps its value
+    /// @return false if the text is not an integer from minimum to maximum
+    bool readNumber(const std::string& text, std::int64_t minimum, std::int64_t maximum, std::int64_t& number)
     {
-        return text.empty() || (absl::SimpleAtoi(text, &number) && number >= least && number <= most);
+        return text.empty() || (absl::SimpleAtoi(text, &number) && number >= minimum && number <= maximum);
     }
 
 } // namespace
@@ -95,22 +101,23 @@
 std::optional<WorkspaceId> CallerApi::authenticate(const HttpExchange& exchange)
 {
     const Configuration& configuration = m_node.reducer().configuration();
-    if (m_tokensRevision != configuration.revision) {
-        m_tokens.clear();
+    if (m_tokenMapRevision != configuration.revision) {
+        m_workspaceByTokenHash.clear();
         for (const auto& [id, workspace] : configuration.workspaces) {
             for (const std::string& hash : workspace.tokenSha256)
-                m_tokens.emplace(hash, id);
+                m_workspaceByTokenHash.emplace(hash, id);
         }
-        m_tokensRevision = configuration.revision;
+        m_tokenMapRevision = configuration.revision;
     }
     const std::string header = exchange.header("Authorization");
     const std::string scheme = "Bearer ";
     if (header.compare(0, scheme.size(), scheme) != 0)
         return std::nullopt;
     const std::string hash = sha256Hex(header.substr(scheme.size()));
-    const auto found = m_tokens.find(hash);
-    // The look-up works on the hash, which a caller cannot steer; the last word is a comparison in constant time.
-    if (found == m_tokens.end() || !equalInConstantTime(found->first, hash))
+    const auto found = m_workspaceByTokenHash.find(hash);
+    // The lookup time depends only on the hash, whose value a caller cannot choose. The final comparison takes constant
+    // time.
+    if (found == m_workspaceByTokenHash.end() || !equalInConstantTime(found->first, hash))
         return std::nullopt;
     return found->second;
 }
@@ -120,7 +127,7 @@
     const std::string path = exchange.path();
     const auto verb = exchange.request().method();
     if (m_node.reducer().configuration().revision == Revision()) {
-        // A new instance knows no tokens yet; that is no fault of the caller's.
+        // A new instance has no tokens yet. It answers 503 instead of 401, because the token may be valid.
         HttpReply reply = problem(503, "not_ready", "this instance has no configuration yet");
         reply.headers.emplace_back("Retry-After", "1");
         co_await exchange.respond(std::move(reply));
@@ -132,15 +139,15 @@
         co_await exchange.respond(std::move(reply));
         co_return;
     }
-    const std::string services = "/v1/services/";
+    const std::string servicesPrefix = "/v1/services/";
     if (path == "/v1/completions" && verb == http::verb::post) {
-        co_await complete(exchange, *workspace, false);
+        co_await handleCompletion(exchange, *workspace, false);
     } else if (path == "/v1/chat/completions" && verb == http::verb::post) {
-        co_await complete(exchange, *workspace, true);
+        co_await handleCompletion(exchange, *workspace, true);
     } else if (path == "/v1/entries" && verb == http::verb::get) {
-        co_await listEntries(exchange, *workspace);
-    } else if (path.compare(0, services.size(), services) == 0) {
-        co_await callService(exchange, *workspace);
+        co_await handleEntryList(exchange, *workspace);
+    } else if (path.compare(0, servicesPrefix.size(), servicesPrefix) == 0) {
+        co_await handleServiceCall(exchange, *workspace);
     } else {
         HttpReply reply = problem(404, "unknown_path", path);
         co_await exchange.respond(std::move(reply));
@@ -158,7 +165,7 @@
     spec.timeout = std::chrono::milliseconds(deadlineMs);
     spec.priority = static_cast<int>(priority);
     spec.idempotencyKey = exchange.header("Idempotency-Key");
-    if (spec.idempotencyKey.size() > LongestKey)
+    if (spec.idempotencyKey.size() > MaxIdempotencyKeyBytes)
         return absl::InvalidArgumentError("Idempotency-Key: longer than 255 bytes");
     const std::string repeatable = exchange.header("X-Crocusmount-Idempotent");
     if (!repeatable.empty() && repeatable != "true" && repeatable != "false")
@@ -167,7 +174,7 @@
     return absl::OkStatus();
 }
 
-absl::StatusOr<CallerApi::Completion> CallerApi::readCompletion(const HttpExchange& exchange, bool chat) const
+absl::StatusOr<CallerApi::CompletionRequest> CallerApi::readCompletion(const HttpExchange& exchange, bool chat) const
 {
     boost::system::error_code error;
     const json::value document = json::parse(exchange.request().body(), error);
@@ -175,7 +182,7 @@
         return absl::InvalidArgumentError(
             absl::StrCat("body: expected a JSON object", error ? ": " + error.message() : ""));
     const json::object& body = document.as_object();
-    Completion completion;
+    CompletionRequest completion;
     completion.chat = chat;
     completion.spec.maxTokens = DefaultMaxTokens;
     const json::value* model = body.if_contains("model");
@@ -192,10 +199,10 @@
             return absl::InvalidArgumentError("/stream: expected true or false");
         completion.stream = stream->as_bool();
     }
-    if (const json::value* answers = body.if_contains("n"); answers && *answers != json::value(1))
+    if (const json::value* choiceCount = body.if_contains("n"); choiceCount && *choiceCount != json::value(1))
         return absl::InvalidArgumentError("/n: only 1 is served");
     absl::Status status;
-    completion.spec.prompt = promptOf(body, chat, status);
+    completion.spec.prompt = readPrompt(body, chat, status);
     if (status.ok())
         status = readHeaders(exchange, completion.spec, true);
     if (!status.ok())
@@ -214,7 +221,7 @@
     return id;
 }
 
-Awaitable<void> CallerApi::complete(HttpExchange& exchange, const WorkspaceId& workspace, bool chat)
+Awaitable<void> CallerApi::handleCompletion(HttpExchange& exchange, const WorkspaceId& workspace, bool chat)
 {
     auto completion = readCompletion(exchange, chat);
     if (!completion.ok()) {
@@ -226,13 +233,13 @@
     auto channel = std::make_shared<AnswerChannel>(m_context);
     const RequestId id = submit(exchange, completion->spec, channel);
     if (completion->stream)
-        co_await answerStream(exchange, *std::move(completion), channel, id);
+        co_await respondStream(exchange, *std::move(completion), channel, id);
     else
-        co_await answerWhole(exchange, *std::move(completion), channel);
+        co_await respondWhole(exchange, *std::move(completion), channel);
 }
 
-Awaitable<void> CallerApi::answerWhole(
-    HttpExchange& exchange, Completion completion, std::shared_ptr<AnswerChannel> channel)
+Awaitable<void> CallerApi::respondWhole(
+    HttpExchange& exchange, CompletionRequest completion, std::shared_ptr<AnswerChannel> channel)
 {
     std::string text;
     std::size_t count = 0;
@@ -266,27 +273,28 @@
     co_await exchange.respond(std::move(reply));
 }
 
-Awaitable<void> CallerApi::answerStream(
-    HttpExchange& exchange, Completion completion, std::shared_ptr<AnswerChannel> channel, RequestId id)
+Awaitable<void> CallerApi::respondStream(
+    HttpExchange& exchange, CompletionRequest completion, std::shared_ptr<AnswerChannel> channel, RequestId id)
 {
-    const std::string name = absl::StrCat("cmpl-", m_node.settings().core.self.instance.value(), "-", id.value());
-    const ChunkFrame frame(name, completion.spec.pipeline.value(), completion.chat);
-    bool begun = false;
+    const std::string completionId
+        = absl::StrCat("cmpl-", m_node.settings().core.self.instance.value(), "-", id.value());
+    const ChunkTemplate chunkTemplate(completionId, completion.spec.pipeline.value(), completion.chat);
+    bool hasBegun = false;
     for (;;) {
         const AnswerChannel::Batch batch = co_await channel->next();
         if (channel->abandoned())
             co_return;
-        if (!begun && batch.failure && batch.tokens.empty()) {
+        if (!hasBegun && batch.failure && batch.tokens.empty()) {
             HttpReply reply = problemOf(*batch.failure);
             co_await exchange.respond(std::move(reply));
             co_return;
         }
-        if (!begun && !co_await exchange.beginStream("text/event-stream"))
+        if (!hasBegun && !co_await exchange.beginStream("text/event-stream"))
             break;
-        begun = true;
+        hasBegun = true;
         std::string out;
         for (const std::string& token : batch.tokens)
-            frame.append(out, token);
+            chunkTemplate.append(out, token);
         if (batch.completed)
             out += "data: [DONE]\n\n";
         if (batch.failure)
@@ -301,14 +309,14 @@
     m_node.abandon(id);
 }
 
-Awaitable<void> CallerApi::callService(HttpExchange& exchange, const WorkspaceId& workspace)
+Awaitable<void> CallerApi::handleServiceCall(HttpExchange& exchange, const WorkspaceId& workspace)
 {
     const std::string target(exchange.request().target());
-    const std::string rest = target.substr(std::string("/v1/services/").size());
-    const auto nameEnd = rest.find_first_of("/?");
+    const std::string nameAndTarget = target.substr(std::string("/v1/services/").size());
+    const auto nameEnd = nameAndTarget.find_first_of("/?");
     RequestSpec spec;
     spec.workspace = workspace;
-    spec.pipeline = PipelineId(rest.substr(0, nameEnd));
+    spec.pipeline = PipelineId(nameAndTarget.substr(0, nameEnd));
     const auto pipeline = m_node.reducer().configuration().pipelines.find(spec.pipeline);
     const bool isService = pipeline != m_node.reducer().configuration().pipelines.end()
         && pipeline->second.kind == PipelineKind::Service;
@@ -324,7 +332,7 @@
     }
     ServiceCall call;
     call.method = std::string(exchange.request().method_string());
-    call.target = nameEnd == std::string::npos ? "/" : rest.substr(nameEnd);
+    call.target = nameEnd == std::string::npos ? "/" : nameAndTarget.substr(nameEnd);
     if (call.target.front() == '?')
         call.target.insert(0, "/");
     call.contentType = exchange.header("Content-Type");
@@ -355,7 +363,7 @@
     co_await exchange.respond(std::move(reply));
 }
 
-Awaitable<void> CallerApi::listEntries(HttpExchange& exchange, const WorkspaceId& workspace)
+Awaitable<void> CallerApi::handleEntryList(HttpExchange& exchange, const WorkspaceId& workspace)
 {
     json::array entries;
     for (const MemberUpdate& entry : m_node.reducer().entriesFor(workspace)) {
--- a/src/shell/CallerApi.h
+++ b/src/shell/CallerApi.h
@@ -13,33 +13,43 @@
 class AnswerChannel;
 class Node;
 
-/// The interface for callers: completions, chat completions, plain services, the list of entry instances.
+/// Serves the HTTP interface of callers: completions, chat completions, plain services and the list of entry instances.
 class CallerApi final : public HttpHandler {
 public:
     CallerApi(net::io_context&, Node&);
 
 private:
-    struct Completion {
+    /// A parsed request for a completion.
+    struct CompletionRequest {
         RequestSpec spec;
-        bool stream = false;
-        bool chat = false;
+        bool stream = false; ///< the answer is a stream of server-sent events
+        bool chat = false; ///< came as chat completion, with messages instead of a prompt
     };
 
     Awaitable<void> onExchange(HttpExchange&) override;
-    Awaitable<void> complete(HttpExchange&, const WorkspaceId&, bool chat);
-    Awaitable<void> callService(HttpExchange&, const WorkspaceId&);
-    Awaitable<void> listEntries(HttpExchange&, const WorkspaceId&);
-    Awaitable<void> answerWhole(HttpExchange&, Completion, std::shared_ptr<AnswerChannel>);
-    Awaitable<void> answerStream(HttpExchange&, Completion, std::shared_ptr<AnswerChannel>, RequestId);
-    absl::StatusOr<Completion> readCompletion(const HttpExchange&, bool chat) const;
+    Awaitable<void> handleCompletion(HttpExchange&, const WorkspaceId&, bool chat);
+    Awaitable<void> handleServiceCall(HttpExchange&, const WorkspaceId&);
+    Awaitable<void> handleEntryList(HttpExchange&, const WorkspaceId&);
+    /// Collects all tokens and answers with one JSON body.
+    Awaitable<void> respondWhole(HttpExchange&, CompletionRequest, std::shared_ptr<AnswerChannel>);
+    /// Sends the tokens as server-sent events as they arrive.
+    Awaitable<void> respondStream(HttpExchange&, CompletionRequest, std::shared_ptr<AnswerChannel>, RequestId);
+    /// Parses the body and the headers.
+    /// @return the request, or InvalidArgument that names the field or header
+    absl::StatusOr<CompletionRequest> readCompletion(const HttpExchange&, bool chat) const;
+    /// Copies deadline, priority, idempotency key and repeatability from the headers to the spec.
+    /// @param repeatableByDefault  value if the header X-Crocusmount-Idempotent is missing
+    /// @return InvalidArgument that names the header
     absl::Status readHeaders(const HttpExchange&, RequestSpec&, bool repeatableByDefault) const;
+    /// @return the workspace of the bearer token; none if the token is missing or unknown
     std::optional<WorkspaceId> authenticate(const HttpExchange&);
+    /// Submits a request and cancels it if the caller disconnects.
     RequestId submit(HttpExchange&, const RequestSpec&, const std::shared_ptr<AnswerChannel>&);
 
     net::io_context& m_context;
     Node& m_node;
-    Revision m_tokensRevision; ///< of the configuration that m_tokens was made from
-    absl::flat_hash_map<std::string, WorkspaceId> m_tokens; ///< by SHA-256
+    Revision m_tokenMapRevision; ///< of the configuration that filled m_workspaceByTokenHash
+    absl::flat_hash_map<std::string, WorkspaceId> m_workspaceByTokenHash; ///< key: SHA-256 of the token in hexadecimal
 };
 
 } // namespace crocusmount
--- a/src/shell/Endpoint.h
+++ b/src/shell/Endpoint.h
@@ -7,8 +7,8 @@
 
 namespace crocusmount {
 
-/// Reads "ip:port" or "[ip6]:port".
-/// @return the endpoint, or InvalidArgument that quotes the text
+/// Parses "ip:port" or "[ipv6]:port".
+/// @return the endpoint, or InvalidArgument with the text
 template <typename Protocol>
 absl::StatusOr<net::ip::basic_endpoint<Protocol>> parseEndpoint(const std::string& text)
 {
@@ -21,9 +21,9 @@
     boost::system::error_code error;
     const auto address = net::ip::make_address(host, error);
     const std::string portText = text.substr(colon + 1);
-    const bool digits
+    const bool isNumber
         = !portText.empty() && portText.size() <= 5 && portText.find_first_not_of("0123456789") == std::string::npos;
-    const unsigned long port = digits ? std::stoul(portText) : 65536;
+    const unsigned long port = isNumber ? std::stoul(portText) : 65536;
     if (error || port > 65535)
         return absl::InvalidArgumentError("'" + text + "' is not ip:port");
     return net::ip::basic_endpoint<Protocol>(address, static_cast<unsigned short>(port));
--- a/src/shell/HttpBackendClient.cpp
+++ b/src/shell/HttpBackendClient.cpp
@@ -14,12 +14,12 @@
 
     namespace json = boost::json;
 
-    constexpr std::chrono::milliseconds ProbeTimeout { 500 };
-    constexpr std::size_t FrameBuffer = 4096;
-    constexpr std::chrono::milliseconds SendTimeout { 2000 };
-    constexpr std::chrono::milliseconds ServiceTimeout { 60000 };
+    constexpr std::chrono::milliseconds ProbeTimeout { 500 }; ///< for a whole probe
+    constexpr std::size_t FrameBufferBytes = 4096;
+    constexpr std::chrono::milliseconds StreamSendTimeout { 2000 }; ///< for sending the request of a stream
+    constexpr std::chrono::milliseconds ServiceCallTimeout { 60000 }; ///< for a whole call to a plain service
 
-    json::array hopsOf(const Chain& chain)
+    json::array hopsToJson(const Chain& chain)
     {
         json::array hops;
         for (const Hop& hop : chain.hops()) {
@@ -42,21 +42,26 @@
 
 HttpBackendClient::HttpBackendClient(net::io_context& context, std::string owner, Post post)
     : m_context(context)
-    , m_owner(std::move(owner))
+    , m_attemptPrefix(std::move(owner))
     , m_post(std::move(post))
     , m_client(context)
 {
 }
 
-std::string HttpBackendClient::wireName(AttemptId attempt) const { return absl::StrCat(m_owner, "/", attempt.value()); }
+std::string HttpBackendClient::wireName(AttemptId attempt) const
+{
+    return absl::StrCat(m_attemptPrefix, "/", attempt.value());
+}
 
-AttemptId HttpBackendClient::fromWireName(std::string_view name) const
+AttemptId HttpBackendClient::attemptFromWireName(std::string_view name) const
 {
     std::uint64_t number = 0;
-    const bool own = name.size() > m_owner.size() && name.substr(0, m_owner.size()) == m_owner;
-    if (!own
+    const bool hasPrefix
+        = name.size() > m_attemptPrefix.size() && name.substr(0, m_attemptPrefix.size()) == m_attemptPrefix;
+    if (!hasPrefix
         || !absl::SimpleAtoi(
-            absl::string_view(name.data() + m_owner.size() + 1, name.size() - m_owner.size() - 1), &number))
+            absl::string_view(name.data() + m_attemptPrefix.size() + 1, name.size() - m_attemptPrefix.size() - 1),
+            &number))
         return AttemptId();
     return AttemptId(number);
 }
@@ -68,23 +73,23 @@
         return;
     }
     auto handle = std::make_shared<HttpClient::Handle>();
-    m_running[attempt.attempt] = handle;
+    m_runningStreams[attempt.attempt] = handle;
     net::co_spawn(m_context.get_executor(), runStream(attempt, std::move(handle)), net::detached);
 }
 
 void HttpBackendClient::onCancel(AttemptId attempt)
 {
-    const auto found = m_running.find(attempt);
-    if (found == m_running.end())
+    const auto found = m_runningStreams.find(attempt);
+    if (found == m_runningStreams.end())
         return;
     found->second->cancel();
-    m_running.erase(found);
+    m_runningStreams.erase(found);
 }
 
-bool HttpBackendClient::takeFrame(AttemptId attempt, std::string_view data, bool& ended)
+bool HttpBackendClient::handleFrame(AttemptId attempt, std::string_view data, bool& ended)
 {
-    // Frames are small and many: their parts live in this buffer.
-    std::array<unsigned char, FrameBuffer> buffer;
+    // There are many small frames, so each is parsed into this buffer instead of the heap.
+    std::array<unsigned char, FrameBufferBytes> buffer;
     json::monotonic_resource memory(buffer.data(), buffer.size());
     const json::object frame = parseObject(data, &memory);
     if (flagOf(frame, "end")) {
@@ -98,33 +103,33 @@
             attempt, Reason::StageFailed, RunState::MayHaveRun, BackendId(textOf(error->as_object(), "culprit")) });
         return false;
     }
-    m_post(event::TokenReceived { attempt, fromWireName(textOf(frame, "attempt")),
+    m_post(event::TokenReceived { attempt, attemptFromWireName(textOf(frame, "attempt")),
         static_cast<std::uint32_t>(countOf(frame, "index")), textOf(frame, "text"), textOf(frame, "trace") });
     return true;
 }
 
-void HttpBackendClient::reportFailure(const effect::StartAttempt& attempt, const HttpAnswer& answer)
+void HttpBackendClient::postFailure(const effect::StartAttempt& attempt, const HttpAnswer& answer)
 {
-    const BackendId first = attempt.chain.hops().front().backend;
+    const BackendId firstBackend = attempt.chain.hops().front().backend;
     if (answer.phase == CallPhase::NotConnected) {
-        m_post(event::AttemptFailed { attempt.attempt, Reason::ConnectFailed, RunState::NotRun, first });
+        m_post(event::AttemptFailed { attempt.attempt, Reason::ConnectFailed, RunState::NotRun, firstBackend });
         return;
     }
     if (answer.status == 0 || answer.status == 200) {
-        m_post(event::AttemptFailed { attempt.attempt, Reason::ConnectionLost, RunState::MayHaveRun, first });
+        m_post(event::AttemptFailed { attempt.attempt, Reason::ConnectionLost, RunState::MayHaveRun, firstBackend });
         return;
     }
     const json::object body = parseObject(answer.body);
     const bool notRun = textOf(body, "run") == "not_run";
     const std::string culprit = textOf(body, "culprit");
     m_post(event::AttemptFailed { attempt.attempt, notRun ? Reason::RefusedByBackend : Reason::BackendError,
-        notRun ? RunState::NotRun : RunState::MayHaveRun, culprit.empty() ? first : BackendId(culprit) });
+        notRun ? RunState::NotRun : RunState::MayHaveRun, culprit.empty() ? firstBackend : BackendId(culprit) });
 }
 
 Awaitable<void> HttpBackendClient::runStream(effect::StartAttempt attempt, std::shared_ptr<HttpClient::Handle> handle)
 {
     json::object body { { "attempt", wireName(attempt.attempt) }, { "prompt", attempt.prompt },
-        { "maxTokens", attempt.maxTokens }, { "priority", attempt.priority }, { "hops", hopsOf(attempt.chain) } };
+        { "maxTokens", attempt.maxTokens }, { "priority", attempt.priority }, { "hops", hopsToJson(attempt.chain) } };
     json::array emitted;
     for (const std::string& token : attempt.emitted)
         emitted.emplace_back(token);
@@ -134,20 +139,20 @@
     call.verb = http::verb::post;
     call.target = "/v1/streams";
     call.body = json::serialize(body);
-    call.timeout = SendTimeout;
+    call.timeout = StreamSendTimeout;
     call.freshConnection = !attempt.repeatable;
     SseParser parser;
     bool ended = false;
     const auto receive = [&](std::string_view bytes) {
-        return parser.feed(bytes, [&](std::string_view data) { return takeFrame(attempt.attempt, data, ended); });
+        return parser.feed(bytes, [&](std::string_view data) { return handleFrame(attempt.attempt, data, ended); });
     };
     HttpClient::Receive onBytes = receive;
     const HttpAnswer answer
         = co_await m_client.stream(std::move(call), std::chrono::milliseconds(0), std::move(onBytes), handle);
-    // A cancelled attempt was taken off the map; nobody waits for its end.
-    if (!m_running.erase(attempt.attempt) || ended)
+    // onCancel() has removed a cancelled attempt from the map. Its failure is not posted.
+    if (!m_runningStreams.erase(attempt.attempt) || ended)
         co_return;
-    reportFailure(attempt, answer);
+    postFailure(attempt, answer);
 }
 
 Awaitable<void> HttpBackendClient::runServiceCall(effect::StartAttempt attempt)
@@ -159,14 +164,14 @@
     call.target = request.target;
     call.body = request.body;
     call.contentType = request.contentType;
-    call.timeout = ServiceTimeout;
+    call.timeout = ServiceCallTimeout;
     call.freshConnection = !attempt.repeatable;
     const HttpAnswer answer = co_await m_client.call(std::move(call));
     if (answer.phase != CallPhase::Answered) {
-        reportFailure(attempt, answer);
+        postFailure(attempt, answer);
         co_return;
     }
-    // A plain service has no layers; its one stage is the one that was called.
+    // The chain of a plain service has one hop and no layers, so its trace is known without a report by the server.
     m_post(event::TokenReceived { attempt.attempt, attempt.attempt, 0,
         toJson(ServiceAnswer { answer.status, answer.contentType, answer.body }), attempt.chain.trace() });
     m_post(event::AttemptEnded { attempt.attempt, 1 });
@@ -174,8 +179,8 @@
 
 void HttpBackendClient::onProbe(const effect::ProbeBackend& probe, const BackendServer* service)
 {
-    // One probe at a time: a paused server must not collect them.
-    if (!m_probing.insert(probe.backend).second)
+    // At most one probe per server is in flight, so probes do not pile up at a server that does not respond.
+    if (!m_probesInFlight.insert(probe.backend).second)
         return;
     if (service)
         net::co_spawn(
@@ -188,7 +193,7 @@
 {
     HttpCall call = probeCall(probe.address, "/v1/status");
     const HttpAnswer answer = co_await m_client.call(std::move(call));
-    m_probing.erase(probe.backend);
+    m_probesInFlight.erase(probe.backend);
     const json::object body = parseObject(answer.body);
     const bool usable = answer.status == 200 && textOf(body, "backend") == probe.backend.value();
     if (!usable) {
@@ -212,7 +217,7 @@
 {
     HttpCall call = probeCall(probe.address, "/healthz");
     const HttpAnswer answer = co_await m_client.call(std::move(call));
-    m_probing.erase(probe.backend);
+    m_probesInFlight.erase(probe.backend);
     if (answer.status != 200) {
         m_post(event::BackendUnreachable { probe.backend });
         co_return;
--- a/src/shell/HttpClient.cpp
+++ b/src/shell/HttpClient.cpp
@@ -10,21 +10,22 @@
 namespace {
 
     constexpr auto asTuple = net::as_tuple(useAwaitable);
-    constexpr std::size_t IdlePerAddress = 64;
-    constexpr std::uint64_t AnswerLimit = 64ULL << 20;
+    constexpr std::size_t MaxIdleConnectionsPerAddress = 64;
+    constexpr std::uint64_t MaxAnswerBytes = 64ULL << 20;
     constexpr std::chrono::milliseconds ConnectTimeout { 1000 };
 
-    /// Lets TCP find a peer that is silent for good, within about two seconds.
+    /// Makes TCP detect a peer that no longer responds within two to three seconds: by keepalive probes while the
+    /// connection is idle, and by the user timeout while sent data is not acknowledged. Then TCP closes the connection.
     template <typename Socket>
-    void probe(Socket& socket)
+    void enableKeepAlive(Socket& socket)
     {
-        const int on = 1;
+        const int enabled = 1;
         const int idleSeconds = 1;
         const int intervalSeconds = 1;
         const int probes = 1;
         const unsigned userTimeoutMs = 2000;
         const int handle = socket.native_handle();
-        setsockopt(handle, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
+        setsockopt(handle, SOL_SOCKET, SO_KEEPALIVE, &enabled, sizeof enabled);
         setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &idleSeconds, sizeof idleSeconds);
         setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &intervalSeconds, sizeof intervalSeconds);
         setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
@@ -45,7 +46,7 @@
     }
 
     template <typename Message>
-    void readHead(const Message& message, HttpAnswer& answer)
+    void readStatusAndHeaders(const Message& message, HttpAnswer& answer)
     {
         answer.status = message.result_int();
         answer.contentType = std::string(message[http::field::content_type]);
@@ -69,47 +70,47 @@
         m_stream->close();
 }
 
-Awaitable<HttpClient::Connected> HttpClient::connect(const HttpCall& call)
+Awaitable<HttpClient::ConnectResult> HttpClient::connect(const HttpCall& call)
 {
     auto& idle = m_idle[call.address];
     while (!call.freshConnection && !idle.empty()) {
         auto stream = idle.back();
         idle.pop_back();
-        // A server that closed an idle connection shows as readable; such a connection is not used.
+        // An idle connection that the server has closed is readable. It is dropped.
         boost::system::error_code error;
         char byte = 0;
         stream->socket().non_blocking(true, error);
         stream->socket().receive(net::buffer(&byte, 1), net::socket_base::message_peek, error);
         if (error == net::error::would_block)
-            co_return Connected { std::move(stream), true, {} };
+            co_return ConnectResult { std::move(stream), true, {} };
     }
     const auto endpoint = parseEndpoint<Tcp>(call.address);
     if (!endpoint.ok())
-        co_return Connected { nullptr, false, std::string(endpoint.status().message()) };
+        co_return ConnectResult { nullptr, false, std::string(endpoint.status().message()) };
     auto stream = std::make_shared<TcpStream>(m_context.get_executor());
     stream->expires_after(std::min(call.timeout, ConnectTimeout));
     const auto [error] = co_await stream->async_connect(*endpoint, asTuple);
     if (error)
-        co_return Connected { nullptr, false, error.message(), error == net::error::connection_refused };
+        co_return ConnectResult { nullptr, false, error.message(), error == net::error::connection_refused };
     boost::system::error_code ignored;
     stream->socket().set_option(Tcp::no_delay(true), ignored);
     if (call.probed)
-        probe(stream->socket());
-    co_return Connected { std::move(stream), false, {} };
+        enableKeepAlive(stream->socket());
+    co_return ConnectResult { std::move(stream), false, {} };
 }
 
-void HttpClient::keep(const std::string& address, std::shared_ptr<TcpStream> stream)
+void HttpClient::keepIdle(const std::string& address, std::shared_ptr<TcpStream> stream)
 {
     auto& idle = m_idle[address];
     stream->expires_never();
-    if (idle.size() < IdlePerAddress)
+    if (idle.size() < MaxIdleConnectionsPerAddress)
         idle.push_back(std::move(stream));
 }
 
 Awaitable<HttpAnswer> HttpClient::call(HttpCall call)
 {
     HttpAnswer answer;
-    Connected connected = co_await connect(call);
+    ConnectResult connected = co_await connect(call);
     if (!connected.stream) {
         answer.error = connected.error;
         answer.refused = connected.refused;
@@ -122,7 +123,7 @@
     auto [error, count] = co_await http::async_write(stream, request, asTuple);
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(AnswerLimit);
+    parser.body_limit(MaxAnswerBytes);
     if (!error)
         std::tie(error, count) = co_await http::async_read(stream, buffer, parser, asTuple);
     if (error) {
@@ -131,10 +132,10 @@
         co_return answer;
     }
     answer.phase = CallPhase::Answered;
-    readHead(parser.get(), answer);
+    readStatusAndHeaders(parser.get(), answer);
     answer.body = std::move(parser.get().body());
     if (parser.get().keep_alive())
-        keep(call.address, connected.stream);
+        keepIdle(call.address, connected.stream);
     co_return answer;
 }
 
@@ -142,7 +143,7 @@
     HttpCall call, std::chrono::milliseconds silence, Receive receive, std::shared_ptr<Handle> handle)
 {
     HttpAnswer answer;
-    Connected connected = co_await connect(call);
+    ConnectResult connected = co_await connect(call);
     if (!connected.stream || (handle && handle->m_cancelled)) {
         answer.error = connected.stream ? "cancelled" : connected.error;
         co_return answer;
@@ -150,7 +151,7 @@
     if (handle)
         handle->m_stream = connected.stream;
     TcpStream& stream = *connected.stream;
-    const auto expire = [&] {
+    const auto restartTimer = [&] {
         if (silence.count())
             stream.expires_after(silence);
         else
@@ -163,27 +164,27 @@
     beast::flat_buffer buffer;
     http::response_parser<http::buffer_body> parser;
     parser.body_limit(boost::none);
-    expire();
+    restartTimer();
     if (!error)
         std::tie(error, count) = co_await http::async_read_header(stream, buffer, parser, asTuple);
     if (!error)
-        readHead(parser.get(), answer);
-    std::array<char, 16384> piece {};
-    bool wanted = true;
-    while (!error && wanted && !parser.is_done()) {
-        parser.get().body().data = piece.data();
-        parser.get().body().size = piece.size();
-        expire();
+        readStatusAndHeaders(parser.get(), answer);
+    std::array<char, 16384> chunk {};
+    bool wantsMore = true;
+    while (!error && wantsMore && !parser.is_done()) {
+        parser.get().body().data = chunk.data();
+        parser.get().body().size = chunk.size();
+        restartTimer();
         std::tie(error, count) = co_await http::async_read_some(stream, buffer, parser, asTuple);
         if (error == http::error::need_buffer)
             error = {};
-        const std::string_view received(piece.data(), piece.size() - parser.get().body().size);
+        const std::string_view received(chunk.data(), chunk.size() - parser.get().body().size);
         if (handle && handle->m_cancelled)
             error = net::error::operation_aborted;
         else if (answer.status != 200)
             answer.body.append(received);
         else if (!received.empty())
-            wanted = receive(received);
+            wantsMore = receive(received);
     }
     if (handle)
         handle->m_stream = nullptr;
@@ -193,7 +194,7 @@
     }
     answer.phase = CallPhase::Answered;
     if (parser.is_done() && parser.get().keep_alive())
-        keep(call.address, connected.stream);
+        keepIdle(call.address, connected.stream);
     co_return answer;
 }
 
--- a/src/shell/HttpClient.h
+++ b/src/shell/HttpClient.h
@@ -11,13 +11,14 @@
 
 namespace crocusmount {
 
-/// How far a call came; decides whether the other side can have acted on it.
+/// How far a call has got. Tells whether the server may have acted on it.
 enum class CallPhase {
-    NotConnected, ///< no byte was sent
-    Sent, ///< bytes were sent, no whole answer came
-    Answered,
+    NotConnected, ///< no byte was sent, so the server has not acted on the call
+    Sent, ///< bytes may have been sent, and no complete answer was received
+    Answered, ///< a complete answer was received
 };
 
+/// A request to an HTTP server.
 struct HttpCall {
     std::string address; ///< "ip:port"
     http::verb verb = http::verb::get;
@@ -25,62 +26,74 @@
     std::string body;
     std::string contentType = "application/json";
     std::vector<std::pair<std::string, std::string>> headers;
+    /// Limit of a call() for sending the request and receiving the whole answer, and of a stream() for sending the
+    /// request. Connecting has the same limit, but at most one second.
     std::chrono::milliseconds timeout { 2000 };
-    bool probed = false; ///< TCP probes an idle connection and resets it after two to three seconds of silence
-    bool freshConnection = false; ///< never an idle one, which the other side may have closed
+    bool probed
+        = false; ///< TCP keepalive closes a new connection when the peer has been silent for two to three seconds
+    bool freshConnection = false; ///< use no idle connection, because the server may have closed it
 };
 
+/// The answer to an HttpCall, or the error.
 struct HttpAnswer {
     CallPhase phase = CallPhase::NotConnected;
-    unsigned status = 0;
+    unsigned status = 0; ///< HTTP status; 0 if no headers were received
     std::string body;
     std::string contentType;
-    std::string error; ///< empty if answered
-    bool refused = false; ///< the other machine says that nobody listens there
-    bool silent = false; ///< not answered because of a time limit, this call's or TCP's
-    std::map<std::string, std::string> headers; ///< names in lower case
+    std::string error; ///< error message; empty if the phase is Answered
+    bool refused = false; ///< the connection was refused: nothing listens at the address
+    bool silent = false; ///< after sending, a call() had no answer within the timeout of the call or of TCP
+    std::map<std::string, std::string> headers; ///< by name in lower case
 };
 
-/// Calls HTTP servers and keeps idle connections to them.
+/// HTTP/1.1 client that keeps idle connections for later calls.
 class HttpClient {
 public:
     explicit HttpClient(net::io_context&);
     ~HttpClient();
 
+    /// Sends a request and reads the whole answer.
     Awaitable<HttpAnswer> call(HttpCall);
 
-    /// Receives the body of a streamed answer as it comes.
+    /// Receives the next bytes of the body of a streamed answer.
     /// @return false to stop reading
     using Receive = std::function<bool(std::string_view)>;
 
-    /// Lets another part of the program close a streamed call.
+    /// Cancels a streamed call from outside its coroutine.
     class Handle {
     public:
+        /// Closes the connection. No more bytes are received.
         void cancel();
 
     private:
         friend class HttpClient;
-        std::shared_ptr<TcpStream> m_stream;
+        std::shared_ptr<TcpStream> m_stream; ///< null unless the call is connected
         bool m_cancelled = false;
     };
 
-    /// Sends a call and hands the body over in pieces if the status is 200; otherwise the answer has the body.
-    /// @param silence  longest time without a byte; zero: no limit
+    /// Sends a request. If the status is 200, the body is passed to the receiver in pieces, otherwise it is returned in
+    /// the answer.
+    /// @param silence  maximum time without a received byte; zero: no limit
+    /// @return the answer; its phase is also Answered if the receiver stopped reading
     Awaitable<HttpAnswer> stream(HttpCall, std::chrono::milliseconds silence, Receive, std::shared_ptr<Handle>);
 
 private:
-    struct Connected {
-        std::shared_ptr<TcpStream> stream;
-        bool reused = false;
+    /// A connection, or the reason why there is none.
+    struct ConnectResult {
+        std::shared_ptr<TcpStream> stream; ///< null if connecting failed
+        bool reused = false; ///< was idle before
         std::string error;
-        bool refused = false;
+        bool refused = false; ///< see HttpAnswer::refused
     };
 
-    Awaitable<Connected> connect(const HttpCall&);
-    void keep(const std::string& address, std::shared_ptr<TcpStream>);
+    /// Takes an idle connection or opens a new one.
+    Awaitable<ConnectResult> connect(const HttpCall&);
+    /// Keeps a connection for later calls, up to a limit per address.
+    void keepIdle(const std::string& address, std::shared_ptr<TcpStream>);
 
     net::io_context& m_context;
-    std::map<std::string, std::vector<std::shared_ptr<TcpStream>>> m_idle;
+    std::map<std::string, std::vector<std::shared_ptr<TcpStream>>>
+        m_idle; ///< idle connections by address, the latest last
 };
 
 } // namespace crocusmount
--- a/src/shell/HttpServer.cpp
+++ b/src/shell/HttpServer.cpp
@@ -18,49 +18,52 @@
         response.set(http::field::content_type, contentType);
     }
 
-    /// Counts something for as long as it lives.
-    class Count {
+    /// Increments a counter on construction and decrements it on destruction.
+    class ScopedCount {
     public:
-        explicit Count(std::size_t& counted)
+        explicit ScopedCount(std::size_t& counted)
             : m_counted(counted)
         {
             ++m_counted;
         }
-        ~Count() { --m_counted; }
-        Count(const Count&) = delete;
-        Count& operator=(const Count&) = delete;
+        ~ScopedCount() { --m_counted; }
+        ScopedCount(const ScopedCount&) = delete;
+        ScopedCount& operator=(const ScopedCount&) = delete;
 
     private:
         std::size_t& m_counted;
     };
 
-    /// Reads a request. The stream's own timer would close the connection, and the caller would not learn why.
-    Awaitable<boost::system::error_code> readInTime(std::shared_ptr<TcpStream> stream, beast::flat_buffer& buffer,
-        http::request_parser<http::string_body>& parser, std::chrono::milliseconds limit)
+    /// Reads a request, at most for the given time. The timer of beast::basic_stream is not used because it closes the
+    /// connection, and then the caller could not get a response with status 408.
+    /// @return no error, beast::error::timeout, or the error of the parser or the socket
+    Awaitable<boost::system::error_code> readRequest(std::shared_ptr<TcpStream> stream, beast::flat_buffer& buffer,
+        http::request_parser<http::string_body>& parser, std::chrono::milliseconds timeout)
     {
-        struct Race {
-            bool read = false;
-            bool late = false;
+        struct ReadState {
+            bool isDone = false;
+            bool hasTimedOut = false;
         };
-        auto race = std::make_shared<Race>();
+        auto readState = std::make_shared<ReadState>();
         Timer timer(stream->get_executor());
-        timer.expires_after(limit);
-        timer.async_wait([stream, race](const boost::system::error_code& stopped) {
-            if (stopped || race->read)
+        timer.expires_after(timeout);
+        timer.async_wait([stream, readState](const boost::system::error_code& stopped) {
+            if (stopped || readState->isDone)
                 return;
-            race->late = true;
+            readState->hasTimedOut = true;
             boost::system::error_code ignored;
             stream->socket().cancel(ignored);
         });
         stream->expires_never();
         const auto [error, count] = co_await http::async_read(*stream, buffer, parser, asTuple);
-        race->read = true;
-        if (error && race->late)
+        readState->isDone = true;
+        if (error && readState->hasTimedOut)
             co_return beast::error::timeout;
         co_return error;
     }
 
-    unsigned statusOf(const boost::system::error_code& error)
+    /// @return the HTTP status for a request that could not be read
+    unsigned statusOfReadError(const boost::system::error_code& error)
     {
         if (error == http::error::header_limit)
             return 431;
@@ -93,41 +96,42 @@
 std::string HttpExchange::query(const std::string& name) const
 {
     const std::string target(m_request.target());
-    const auto mark = target.find('?');
-    std::string rest = mark == std::string::npos ? "" : target.substr(mark + 1);
-    while (!rest.empty()) {
-        const auto end = rest.find('&');
-        const std::string pair = rest.substr(0, end);
+    const auto queryStart = target.find('?');
+    std::string remaining = queryStart == std::string::npos ? "" : target.substr(queryStart + 1);
+    while (!remaining.empty()) {
+        const auto end = remaining.find('&');
+        const std::string pair = remaining.substr(0, end);
         if (pair.compare(0, name.size() + 1, name + "=") == 0)
             return pair.substr(name.size() + 1);
-        rest = end == std::string::npos ? "" : rest.substr(end + 1);
+        remaining = end == std::string::npos ? "" : remaining.substr(end + 1);
     }
     return {};
 }
 
 std::string HttpExchange::header(const std::string& name) const { return std::string(m_request[name]); }
 
-void HttpExchange::setOnPeerClosed(std::function<void()> callback) { m_watch->onClosed = std::move(callback); }
+void HttpExchange::setOnPeerClosed(std::function<void()> callback) { m_watch->onPeerClosed = std::move(callback); }
 
 void HttpExchange::startWatching()
 {
     auto& socket = m_stream.socket();
     socket.async_wait(Tcp::socket::wait_read,
         net::bind_cancellation_slot(
-            m_stopWatch.slot(), [&socket, watch = m_watch](const boost::system::error_code& error) {
-                if (error || !watch->active || !watch->onClosed)
+            m_cancelWatch.slot(), [&socket, watch = m_watch](const boost::system::error_code& error) {
+                if (error || !watch->isActive || !watch->onPeerClosed)
                     return;
                 boost::system::error_code ignored;
-                // Readable without data: the peer closed. Data would be the peer's next request.
+                // If the socket is readable and holds no data, the peer has closed the connection. Data would be the
+                // next request of the peer.
                 if (!socket.available(ignored))
-                    watch->onClosed();
+                    watch->onPeerClosed();
             }));
 }
 
 void HttpExchange::stopWatching()
 {
-    m_watch->active = false;
-    m_stopWatch.emit(net::cancellation_type::all);
+    m_watch->isActive = false;
+    m_cancelWatch.emit(net::cancellation_type::all);
 }
 
 Awaitable<bool> HttpExchange::respond(HttpReply reply)
@@ -175,7 +179,7 @@
 
 // ---- HttpServer ----------------------------------------------------------------------------------------------------
 
-struct HttpServer::Shared {
+struct HttpServer::State {
     net::io_context& context;
     Acceptor acceptor;
     HttpLimits limits;
@@ -184,8 +188,8 @@
     std::size_t busy = 0;
 };
 
-HttpServer::HttpServer(std::shared_ptr<Shared> shared)
-    : m_shared(std::move(shared))
+HttpServer::HttpServer(std::shared_ptr<State> state)
+    : m_state(std::move(state))
 {
 }
 
@@ -197,51 +201,51 @@
     auto acceptor = listenOn(context, address, ListenBacklog);
     if (!acceptor.ok())
         return acceptor.status();
-    auto shared = std::make_shared<Shared>(Shared { context, *std::move(acceptor), limits, handler });
-    net::co_spawn(context.get_executor(), acceptLoop(shared), net::detached);
-    return std::unique_ptr<HttpServer>(new HttpServer(std::move(shared)));
+    auto state = std::make_shared<State>(State { context, *std::move(acceptor), limits, handler });
+    net::co_spawn(context.get_executor(), acceptLoop(state), net::detached);
+    return std::unique_ptr<HttpServer>(new HttpServer(std::move(state)));
 }
 
 void HttpServer::stopAccepting()
 {
     boost::system::error_code ignored;
-    m_shared->acceptor.close(ignored);
+    m_state->acceptor.close(ignored);
 }
 
-std::size_t HttpServer::connections() const { return m_shared->connections; }
+std::size_t HttpServer::connections() const { return m_state->connections; }
 
-std::size_t HttpServer::busy() const { return m_shared->busy; }
+std::size_t HttpServer::busy() const { return m_state->busy; }
 
 std::string HttpServer::address() const
 {
-    const auto endpoint = m_shared->acceptor.local_endpoint();
+    const auto endpoint = m_state->acceptor.local_endpoint();
     return absl::StrCat(endpoint.address().to_string(), ":", endpoint.port());
 }
 
-Awaitable<void> HttpServer::acceptLoop(std::shared_ptr<Shared> shared)
+Awaitable<void> HttpServer::acceptLoop(std::shared_ptr<State> state)
 {
-    Timer pause(shared->context.get_executor());
-    while (shared->acceptor.is_open()) {
-        auto stream = std::make_shared<TcpStream>(shared->context.get_executor());
-        const auto [error] = co_await shared->acceptor.async_accept(stream->socket(), asTuple);
-        if (error == net::error::operation_aborted || !shared->acceptor.is_open())
+    Timer retryTimer(state->context.get_executor());
+    while (state->acceptor.is_open()) {
+        auto stream = std::make_shared<TcpStream>(state->context.get_executor());
+        const auto [error] = co_await state->acceptor.async_accept(stream->socket(), asTuple);
+        if (error == net::error::operation_aborted || !state->acceptor.is_open())
             co_return;
         if (error) {
-            // Out of descriptors or the like: others are served, so wait and go on.
-            pause.expires_after(std::chrono::milliseconds(50));
-            co_await pause.async_wait(asTuple);
+            // For example no file descriptor is free. Open connections may end soon, so the next accept waits a little.
+            retryTimer.expires_after(std::chrono::milliseconds(50));
+            co_await retryTimer.async_wait(asTuple);
             continue;
         }
         boost::system::error_code ignored;
         stream->socket().set_option(Tcp::no_delay(true), ignored);
-        net::co_spawn(shared->context.get_executor(), serve(shared, stream), net::detached);
+        net::co_spawn(state->context.get_executor(), serve(state, stream), net::detached);
     }
 }
 
-Awaitable<void> HttpServer::serve(std::shared_ptr<Shared> shared, std::shared_ptr<TcpStream> stream)
+Awaitable<void> HttpServer::serve(std::shared_ptr<State> state, std::shared_ptr<TcpStream> stream)
 {
-    const Count counted(shared->connections);
-    const HttpLimits& limits = shared->limits;
+    const ScopedCount counted(state->connections);
+    const HttpLimits& limits = state->limits;
     beast::flat_buffer buffer;
     bool keepAlive = true;
     while (keepAlive) {
@@ -256,20 +260,20 @@
         parser.header_limit(limits.headerBytes);
         parser.body_limit(limits.bodyBytes);
         boost::system::error_code error;
-        if (shared->connections > limits.connections)
+        if (state->connections > limits.connections)
             error = net::error::connection_refused;
         else
-            error = co_await readInTime(stream, buffer, parser, limits.readTimeout);
+            error = co_await readRequest(stream, buffer, parser, limits.readTimeout);
         if (error == http::error::end_of_stream || error == net::error::connection_reset)
             break;
         HttpExchange exchange(*stream, error ? HttpExchange::Request() : parser.release(), limits.writeTimeout);
         if (error) {
-            const bool full = error == net::error::connection_refused;
+            const bool isFull = error == net::error::connection_refused;
             const std::string body
-                = absl::StrCat(R"({"type":"about:blank","title":")", full ? "too many connections" : error.message(),
-                    R"(","reason":")", full ? "too_many_connections" : "malformed_request", R"(","run":"not_run"})");
+                = absl::StrCat(R"({"type":"about:blank","title":")", isFull ? "too many connections" : error.message(),
+                    R"(","reason":")", isFull ? "too_many_connections" : "malformed_request", R"(","run":"not_run"})");
             HttpReply reply;
-            reply.status = full ? 503 : statusOf(error);
+            reply.status = isFull ? 503 : statusOfReadError(error);
             reply.contentType = "application/problem+json";
             reply.body = body;
             reply.headers.emplace_back("Connection", "close");
@@ -277,9 +281,9 @@
             break;
         }
         stream->expires_never();
-        const Count busy(shared->busy);
+        const ScopedCount busy(state->busy);
         exchange.startWatching();
-        co_await shared->handler.handle(exchange);
+        co_await state->handler.handle(exchange);
         exchange.stopWatching();
         keepAlive = exchange.keepAlive() && exchange.answered() && stream->socket().is_open();
     }
--- a/src/shell/HttpServer.h
+++ b/src/shell/HttpServer.h
@@ -12,16 +12,17 @@
 
 namespace crocusmount {
 
-/// Bounds on what one caller may take.
+/// Limits of an HTTP server.
 struct HttpLimits {
-    std::uint32_t headerBytes = 16384;
-    std::uint64_t bodyBytes = 1 << 20;
-    std::chrono::milliseconds readTimeout { 10000 }; ///< from a request's first byte to its last
-    std::chrono::milliseconds writeTimeout { 10000 }; ///< one write to a slow caller
-    std::chrono::milliseconds idleTimeout { 120000 }; ///< between two requests
-    std::uint32_t connections = 20000;
+    std::uint32_t headerBytes = 16384; ///< of one request
+    std::uint64_t bodyBytes = 1 << 20; ///< of one request
+    std::chrono::milliseconds readTimeout { 10000 }; ///< from the first byte of a request to its last
+    std::chrono::milliseconds writeTimeout { 10000 }; ///< for one write
+    std::chrono::milliseconds idleTimeout { 120000 }; ///< without a byte before a request
+    std::uint32_t connections = 20000; ///< open at once
 };
 
+/// A response that is sent whole.
 struct HttpReply {
     unsigned status = 200;
     std::string contentType = "application/json";
@@ -29,7 +30,8 @@
     std::vector<std::pair<std::string, std::string>> headers;
 };
 
-/// One request and its answer, whole or streamed. A function that writes returns false when the peer is gone.
+/// One HTTP request and its response, sent either by respond() or as a stream by beginStream(), writeChunk() and
+/// endStream(). Each function that writes returns false if the write fails or takes longer than the write timeout.
 class HttpExchange {
 public:
     using Request = http::request<http::string_body>;
@@ -39,41 +41,49 @@
     HttpExchange& operator=(const HttpExchange&) = delete;
 
     const Request& request() const { return m_request; }
-    /// @return the target without its query
+    /// @return the target of the request without the query
     std::string path() const;
-    /// @return the value of a query parameter, or an empty text
+    /// @return the value of a query parameter, not percent-decoded; empty if it is missing
     std::string query(const std::string& name) const;
+    /// @return the value of a header; empty if it is missing
     std::string header(const std::string& name) const;
 
     Awaitable<bool> respond(HttpReply);
+    /// Sends status 200 and the headers of a chunked response.
     Awaitable<bool> beginStream(std::string contentType);
     Awaitable<bool> writeChunk(std::string);
+    /// Sends the last, empty chunk.
     Awaitable<bool> endStream();
 
-    /// Sets what happens when the peer closes its side before the answer is complete; called at most once.
+    /// Sets the function that is called, at most once, if the peer closes its side before the response is complete.
     void setOnPeerClosed(std::function<void()>);
+    /// @return whether the connection stays open after the response
     bool keepAlive() const { return m_keepAlive; }
+    /// @return whether respond() or beginStream() was called
     bool answered() const { return m_answered; }
-    /// Stops watching for the peer's close.
+    /// Ends the detection of a close by the peer.
     void stopWatching();
+    /// Starts to detect a close by the peer. The detection ends when the peer sends more data, such as its next
+    /// request.
     void startWatching();
 
 private:
+    /// Shared with the pending wait for a close by the peer, which may complete after the exchange is destroyed.
     struct Watch {
-        std::function<void()> onClosed;
-        bool active = true;
+        std::function<void()> onPeerClosed;
+        bool isActive = true;
     };
 
     TcpStream& m_stream;
     Request m_request;
     std::chrono::milliseconds m_writeTimeout;
     std::shared_ptr<Watch> m_watch;
-    net::cancellation_signal m_stopWatch;
+    net::cancellation_signal m_cancelWatch;
     bool m_keepAlive;
     bool m_answered = false;
 };
 
-/// Answers requests; one call for each.
+/// Answers the requests of an HttpServer. The server calls handle() once for each request.
 class HttpHandler {
 public:
     virtual ~HttpHandler() = default;
@@ -83,29 +93,33 @@
     virtual Awaitable<void> onExchange(HttpExchange&) = 0;
 };
 
-/// Serves HTTP/1.1 on one address, within limits.
+/// Serves HTTP/1.1 on one address.
 class HttpServer {
 public:
-    /// @return the listening server, or the reason it cannot listen
+    /// Starts to listen and to accept connections.
+    /// @param address  "ip:port"; with port 0 the system chooses a port
+    /// @return the server, or the error of listenOn()
     static absl::StatusOr<std::unique_ptr<HttpServer>> make(
         net::io_context&, const std::string& address, HttpLimits, HttpHandler&);
     ~HttpServer();
 
-    /// Takes no further connections; those that are open go on.
+    /// Stops accepting connections. Open connections are still served.
     void stopAccepting();
+    /// @return the number of open connections
     std::size_t connections() const;
-    /// @return requests whose answers are not yet written
+    /// @return the number of requests whose response is not completely written
     std::size_t busy() const;
-    /// @return the address, with the port that was chosen where 0 was asked for
+    /// @return "ip:port" with the actual port
     std::string address() const;
 
 private:
-    struct Shared;
-    explicit HttpServer(std::shared_ptr<Shared>);
-    static Awaitable<void> acceptLoop(std::shared_ptr<Shared>);
-    static Awaitable<void> serve(std::shared_ptr<Shared>, std::shared_ptr<TcpStream>);
+    /// Shared with the coroutines, which may outlive the server object.
+    struct State;
+    explicit HttpServer(std::shared_ptr<State>);
+    static Awaitable<void> acceptLoop(std::shared_ptr<State>);
+    static Awaitable<void> serve(std::shared_ptr<State>, std::shared_ptr<TcpStream>);
 
-    std::shared_ptr<Shared> m_shared;
+    std::shared_ptr<State> m_state;
 };
 
 } // namespace crocusmount
--- a/src/shell/Json.cpp
+++ b/src/shell/Json.cpp
@@ -51,9 +51,9 @@
 
 const json::array& listOf(const json::object& object, const char* name)
 {
-    static const json::array none;
+    static const json::array empty;
     const json::value* value = object.if_contains(name);
-    return value && value->is_array() ? value->as_array() : none;
+    return value && value->is_array() ? value->as_array() : empty;
 }
 
 std::string fromBase64(const json::object& object, const char* name)
--- a/src/shell/Json.h
+++ b/src/shell/Json.h
@@ -5,30 +5,33 @@
 #include <string>
 #include <string_view>
 
-/// Reading JSON that others wrote: what is missing or of another type reads as empty, zero or false.
+/// Lenient reading of JSON from other processes: a member that is missing or has another type reads as empty, zero or
+/// false.
 namespace crocusmount {
 
-/// @return the object that a text holds; an empty one where it holds none
+/// @param memory  allocates the object; by default the heap
+/// @return the parsed object; empty if the text is not a JSON object
 boost::json::object parseObject(std::string_view text, const boost::json::storage_ptr& memory = {});
 
-/// @return the text of a member
+/// @return the value of a member that is a string
 std::string textOf(const boost::json::object&, const char* name);
 
-/// @return the number of a member, also where it is written as a text, as the etcd v3 interface does
+/// @return the value of a member that is an integer, or a string that holds an integer, as the etcd v3 API writes it
 std::int64_t numberOf(const boost::json::object&, const char* name);
 
-/// @return the number of a member that counts something; zero where it is negative
+/// @return numberOf(), or zero if it is negative
 std::uint64_t countOf(const boost::json::object&, const char* name);
 
+/// @return the value of a member that is a boolean
 bool flagOf(const boost::json::object&, const char* name);
 
-/// @return the member if it is an object, else null
+/// @return a member that is an object, otherwise null
 const boost::json::object* objectOf(const boost::json::object&, const char* name);
 
-/// @return the member if it is a list, else an empty list
+/// @return a member that is an array, otherwise an empty array
 const boost::json::array& listOf(const boost::json::object&, const char* name);
 
-/// @return the bytes of a member in base 64
+/// @return the decoded bytes of a member that is a base64 string
 std::string fromBase64(const boost::json::object&, const char* name);
 
 } // namespace crocusmount
--- a/src/shell/Listener.h
+++ b/src/shell/Listener.h
@@ -10,8 +10,9 @@
 
 /// Opens a listening socket.
 /// @param address  "ip:port"
-/// @param backlog  connections that may wait to be accepted
-/// @return the socket, or Unavailable with the address and the reason
+/// @param backlog  maximum number of connections that wait to be accepted
+/// @return the socket; InvalidArgument if the address is malformed, or Unavailable with the address and the system
+/// error
 inline absl::StatusOr<Acceptor> listenOn(net::io_context& context, const std::string& address, int backlog)
 {
     const auto endpoint = parseEndpoint<Tcp>(address);
--- a/src/shell/Net.h
+++ b/src/shell/Net.h
@@ -3,7 +3,7 @@
 #include <boost/asio.hpp>
 #include <boost/beast.hpp>
 
-/// Short names for the libraries that the shell is written in; precompiled.
+/// Aliases for Boost.Asio and Boost.Beast, which all sockets, timers and coroutines of src/shell use. Precompiled.
 namespace crocusmount {
 
 namespace net = boost::asio;
@@ -11,7 +11,8 @@
 namespace http = boost::beast::http;
 using Tcp = boost::asio::ip::tcp;
 using Udp = boost::asio::ip::udp;
-/// All of a process runs on one thread, so the executor is named in the types instead of being looked up.
+/// A process has one io_context that runs on one thread. A concrete executor type avoids the type-erased
+/// any_io_executor.
 using Executor = net::io_context::executor_type;
 template <typename T>
 using Awaitable = net::awaitable<T, Executor>;
--- a/src/shell/Node.cpp
+++ b/src/shell/Node.cpp
@@ -18,9 +18,9 @@
 namespace {
 
     constexpr std::chrono::milliseconds TickInterval { 10 };
-    constexpr std::chrono::milliseconds LogInterval { 200 };
-    constexpr std::chrono::seconds ListInterval { 2 };
-    constexpr std::size_t LargestMessageBackends = 200; ///< keeps a datagram below 64 KiB
+    constexpr std::chrono::milliseconds ChangeLogInterval { 200 };
+    constexpr std::chrono::seconds InstanceListInterval { 2 };
+    constexpr std::size_t MaxBackendsPerMessage = 200; ///< keeps a datagram below 64 KiB, the limit of UDP
 
 } // namespace
 
@@ -28,8 +28,8 @@
     : m_context(context)
     , m_settings(settings)
     , m_random(pcg_extras::seed_seq_from<std::random_device>())
-    , m_wallStart(std::chrono::system_clock::now())
-    , m_steadyStart(std::chrono::steady_clock::now())
+    , m_wallClockStart(std::chrono::system_clock::now())
+    , m_steadyClockStart(std::chrono::steady_clock::now())
 {
 }
 
@@ -51,19 +51,19 @@
         return reducer.status();
     m_reducer = *std::move(reducer);
     if (!recordFile.empty()) {
-        m_record.open(recordFile);
-        if (!m_record)
+        m_recordStream.open(recordFile);
+        if (!m_recordStream)
             return absl::NotFoundError(absl::StrCat(recordFile, ": cannot be written"));
-        m_record << "# incarnation " << m_settings.core.self.incarnation << '\n';
+        m_recordStream << "# incarnation " << m_settings.core.self.incarnation << '\n';
     }
-    const auto poster = [this](EventBody body) { post(std::move(body)); };
+    const auto postEvent = [this](EventBody body) { post(std::move(body)); };
     const MemberUpdate& self = m_settings.core.self;
     m_store = std::make_unique<EtcdStoreClient>(m_context, m_settings.store);
-    m_backends = std::make_unique<HttpBackendClient>(
-        m_context, absl::StrCat(self.instance.value(), "/", self.incarnation), poster);
-    m_claims = std::make_unique<ClaimStore>(m_context, *m_store, poster);
-    m_follower = std::make_unique<ConfigurationFollower>(m_context, *m_store, poster);
-    m_listClient = std::make_unique<HttpClient>(m_context);
+    m_backendClient = std::make_unique<HttpBackendClient>(
+        m_context, absl::StrCat(self.instance.value(), "/", self.incarnation), postEvent);
+    m_claimStore = std::make_unique<ClaimStore>(m_context, *m_store, postEvent);
+    m_follower = std::make_unique<ConfigurationFollower>(m_context, *m_store, postEvent);
+    m_instanceListClient = std::make_unique<HttpClient>(m_context);
     PeerTransport::Handlers handlers;
     handlers.onMessage = [this](PeerMessage message) { post(event::PeerMessageReceived { std::move(message) }); };
     handlers.configurationSince = [this](Revision since) { return m_reducer->configurationSince(since); };
@@ -73,28 +73,29 @@
     auto peers = PeerTransport::make(m_context, m_settings.peerListen, std::move(handlers));
     if (!peers.ok())
         return peers.status();
-    m_peers = *std::move(peers);
+    m_peerTransport = *std::move(peers);
     post(event::InstancesListed { m_settings.seeds });
-    net::co_spawn(m_context.get_executor(), tickLoop(), net::detached);
+    net::co_spawn(m_context.get_executor(), runTicks(), net::detached);
     if (!m_settings.instanceList.empty())
-        net::co_spawn(m_context.get_executor(), instanceListLoop(), net::detached);
+        net::co_spawn(m_context.get_executor(), pollInstanceList(), net::detached);
     return absl::OkStatus();
 }
 
 TimePoint Node::now() const
 {
-    // The wall clock gives the origin, so that instances agree about old claims; the steady clock gives the pace.
-    const auto since = std::chrono::steady_clock::now() - m_steadyStart;
-    return TimePoint(std::chrono::duration_cast<Duration>(m_wallStart.time_since_epoch() + since));
+    // The origin is wall-clock time, so that instances agree on the age of claims. The steady clock measures the time
+    // since then, so adjustments of the wall clock have no effect.
+    const auto elapsed = std::chrono::steady_clock::now() - m_steadyClockStart;
+    return TimePoint(std::chrono::duration_cast<Duration>(m_wallClockStart.time_since_epoch() + elapsed));
 }
 
-void Node::record(const Event& event)
+void Node::recordEvent(const Event& event)
 {
-    if (!m_record.is_open())
+    if (!m_recordStream.is_open())
         return;
-    m_record << toJsonLine(event) << '\n';
+    m_recordStream << toJsonLine(event) << '\n';
     for (const Effect& effect : m_effects)
-        m_record << "  " << toJsonLine(effect) << '\n';
+        m_recordStream << "  " << toJsonLine(effect) << '\n';
 }
 
 void Node::reduceOne(EventBody body)
@@ -102,120 +103,120 @@
     const Event event { now(), m_random(), std::move(body) };
     m_effects.clear();
     m_reducer->reduce(event, m_effects);
-    ++m_events;
-    record(event);
-    // Events that effects bring about wait in the queue, so the list stays as it is meanwhile.
+    ++m_eventCount;
+    recordEvent(event);
+    // Events that are posted by effects wait in m_eventQueue, so m_effects does not change during this loop.
     for (const Effect& effect : m_effects)
-        std::visit([this](const auto& body) { run(body); }, effect);
+        std::visit([this](const auto& body) { execute(body); }, effect);
 }
 
 void Node::post(EventBody body)
 {
-    m_queue.push_back(std::move(body));
-    if (m_reducing)
+    m_eventQueue.push_back(std::move(body));
+    if (m_isReducing)
         return;
-    m_reducing = true;
-    while (!m_queue.empty()) {
-        EventBody next = std::move(m_queue.front());
-        m_queue.pop_front();
+    m_isReducing = true;
+    while (!m_eventQueue.empty()) {
+        EventBody next = std::move(m_eventQueue.front());
+        m_eventQueue.pop_front();
         reduceOne(std::move(next));
     }
-    m_reducing = false;
+    m_isReducing = false;
 }
 
 RequestId Node::submit(RequestSpec spec, std::shared_ptr<AnswerChannel> channel)
 {
-    const RequestId id(m_nextRequest++);
-    const auto arrived = std::chrono::steady_clock::now();
-    m_open[id] = Open { std::move(channel), arrived, arrived, true };
+    const RequestId id(m_nextRequestId++);
+    const auto arrivedAt = std::chrono::steady_clock::now();
+    m_openRequests[id] = OpenRequest { std::move(channel), arrivedAt, arrivedAt, true };
     post(event::RequestArrived { id, std::move(spec) });
     return id;
 }
 
 void Node::abandon(RequestId id)
 {
-    if (m_open.erase(id))
+    if (m_openRequests.erase(id))
         post(event::CallerLeft { id });
 }
 
 // ---- Effects -------------------------------------------------------------------------------------------------------
 
-void Node::run(const effect::StartAttempt& attempt) { m_backends->start(attempt); }
+void Node::execute(const effect::StartAttempt& attempt) { m_backendClient->start(attempt); }
 
-void Node::run(const effect::CancelAttempt& cancel) { m_backends->cancel(cancel.attempt); }
+void Node::execute(const effect::CancelAttempt& cancel) { m_backendClient->cancel(cancel.attempt); }
 
-void Node::run(const effect::DeliverToken& token)
+void Node::execute(const effect::DeliverToken& token)
 {
-    const auto found = m_open.find(token.request);
-    if (found == m_open.end())
+    const auto found = m_openRequests.find(token.request);
+    if (found == m_openRequests.end())
         return;
-    Open& open = found->second;
+    OpenRequest& request = found->second;
     const auto time = std::chrono::steady_clock::now();
-    const auto gap = std::chrono::duration_cast<std::chrono::microseconds>(time - open.lastToken);
-    if (open.first)
+    const auto gap = std::chrono::duration_cast<std::chrono::microseconds>(time - request.lastTokenAt);
+    if (request.isFirstTokenPending)
         m_metrics.observeFirstToken(gap);
     else
         m_metrics.observeTokenGap(gap);
-    open.first = false;
-    open.lastToken = time;
-    open.channel->push(token.text);
+    request.isFirstTokenPending = false;
+    request.lastTokenAt = time;
+    request.channel->push(token.text);
 }
 
-void Node::run(const effect::CompleteAnswer& answer)
+void Node::execute(const effect::CompleteAnswer& answer)
 {
-    const auto found = m_open.find(answer.request);
-    if (found == m_open.end())
+    const auto found = m_openRequests.find(answer.request);
+    if (found == m_openRequests.end())
         return;
     m_metrics.observeRequest(std::chrono::duration_cast<std::chrono::microseconds>(
-        std::chrono::steady_clock::now() - found->second.arrived));
+        std::chrono::steady_clock::now() - found->second.arrivedAt));
     found->second.channel->complete();
-    m_open.erase(found);
+    m_openRequests.erase(found);
 }
 
-void Node::run(const effect::FailAnswer& failure)
+void Node::execute(const effect::FailAnswer& failure)
 {
-    const auto found = m_open.find(failure.request);
-    if (found == m_open.end())
+    const auto found = m_openRequests.find(failure.request);
+    if (found == m_openRequests.end())
         return;
     found->second.channel->fail(failure);
-    m_open.erase(found);
+    m_openRequests.erase(found);
 }
 
-void Node::run(const effect::ReadClaims& read) { m_claims->read(read); }
+void Node::execute(const effect::ReadClaims& read) { m_claimStore->read(read); }
 
-void Node::run(const effect::AppendClaims& append) { m_claims->append(append); }
+void Node::execute(const effect::AppendClaims& append) { m_claimStore->append(append); }
 
-void Node::run(const effect::ProbeBackend& probe)
+void Node::execute(const effect::ProbeBackend& probe)
 {
     const auto& backends = m_reducer->configuration().backends;
     const auto server = backends.find(probe.backend);
-    const bool service = server != backends.end() && !server->second.service.empty();
-    m_backends->probe(probe, service ? &server->second : nullptr);
+    const bool isService = server != backends.end() && !server->second.service.empty();
+    m_backendClient->probe(probe, isService ? &server->second : nullptr);
 }
 
-void Node::run(const effect::SendPeerMessage& send)
+void Node::execute(const effect::SendPeerMessage& send)
 {
-    if (send.message.backends.size() <= LargestMessageBackends) {
-        m_peers->send(send.address, send.message);
+    if (send.message.backends.size() <= MaxBackendsPerMessage) {
+        m_peerTransport->send(send.address, send.message);
         return;
     }
-    for (std::size_t begin = 0; begin < send.message.backends.size(); begin += LargestMessageBackends) {
-        const auto end = std::min(begin + LargestMessageBackends, send.message.backends.size());
+    for (std::size_t begin = 0; begin < send.message.backends.size(); begin += MaxBackendsPerMessage) {
+        const auto end = std::min(begin + MaxBackendsPerMessage, send.message.backends.size());
         PeerMessage part = send.message;
         part.backends.assign(send.message.backends.begin() + static_cast<std::ptrdiff_t>(begin),
             send.message.backends.begin() + static_cast<std::ptrdiff_t>(end));
-        m_peers->send(send.address, part);
+        m_peerTransport->send(send.address, part);
     }
 }
 
-void Node::run(const effect::FetchConfiguration& fetch)
+void Node::execute(const effect::FetchConfiguration& fetch)
 {
-    m_peers->fetchConfiguration(fetch.peerAddress, m_reducer->configuration().revision);
+    m_peerTransport->fetchConfiguration(fetch.peerAddress, m_reducer->configuration().revision);
 }
 
-void Node::run(const effect::FollowStore& follow) { m_follower->setFollowing(follow.follow); }
+void Node::execute(const effect::FollowStore& follow) { m_follower->setFollowing(follow.follow); }
 
-void Node::run(const effect::DrainFinished&)
+void Node::execute(const effect::DrainFinished&)
 {
     if (m_onDrained)
         m_onDrained();
@@ -223,7 +224,7 @@
 
 // ---- Loops ---------------------------------------------------------------------------------------------------------
 
-Awaitable<void> Node::tickLoop()
+Awaitable<void> Node::runTicks()
 {
     Timer timer(m_context.get_executor());
     auto nextLog = std::chrono::steady_clock::now();
@@ -233,22 +234,22 @@
         post(event::Tick {});
         if (std::chrono::steady_clock::now() < nextLog)
             continue;
-        nextLog = std::chrono::steady_clock::now() + LogInterval;
+        nextLog = std::chrono::steady_clock::now() + ChangeLogInterval;
         logChanges();
     }
 }
 
-Awaitable<void> Node::instanceListLoop()
+Awaitable<void> Node::pollInstanceList()
 {
     Timer timer(m_context.get_executor());
     for (;;) {
         HttpCall call;
         call.address = m_settings.instanceList;
         call.target = "/v1/instances";
-        const HttpAnswer answer = co_await m_listClient->call(std::move(call));
+        const HttpAnswer answer = co_await m_instanceListClient->call(std::move(call));
         if (answer.status == 200)
             post(event::InstancesListed { instancesFromJson(answer.body) });
-        timer.expires_after(ListInterval);
+        timer.expires_after(InstanceListInterval);
         co_await timer.async_wait(net::as_tuple(useAwaitable));
     }
 }
@@ -285,10 +286,10 @@
     for (const BackendNews& news : m_reducer->backends(now()))
         gauges.backendsReachable += news.reachable;
     gauges.configurationRevision = m_reducer->configuration().revision.value();
-    gauges.peerBytesSent = m_peers->traffic().sentBytes;
-    gauges.peerBytesReceived = m_peers->traffic().receivedBytes;
-    gauges.storeCalls = m_claims->calls() + m_follower->calls();
-    gauges.events = m_events;
+    gauges.peerBytesSent = m_peerTransport->traffic().sentBytes;
+    gauges.peerBytesReceived = m_peerTransport->traffic().receivedBytes;
+    gauges.storeCalls = m_claimStore->calls() + m_follower->calls();
+    gauges.events = m_eventCount;
     return m_metrics.render(m_reducer->counters(), gauges);
 }
 
--- a/src/shell/Node.h
+++ b/src/shell/Node.h
@@ -24,86 +24,101 @@
 class PeerTransport;
 class StoreClient;
 
-/// One entry instance: feeds the reducer with events from sockets and timers, and carries out its effects.
+/// One entry instance: turns input from sockets and timers into events for the reducer, and executes the effects that
+/// the reducer returns.
 class Node {
 public:
-    /// @param recordFile  where to log events and effects for replay; empty: nowhere
-    /// @return the running node, or the reason it cannot start
+    /// Opens the peer transport and starts the loops on the io_context.
+    /// @param recordFile  path of the file that records events and effects for replay; empty: nothing is recorded
+    /// @return the running node; NotFound if recordFile cannot be written, or the error of the reducer's options or of
+    ///     the peer transport
     static absl::StatusOr<std::unique_ptr<Node>> make(net::io_context&, const Settings&, const std::string& recordFile);
     ~Node();
 
-    /// Takes in an event now; effects are carried out before this returns, unless it is called by one of them.
+    /// Reduces an event and executes its effects before returning. A call made while an effect is executed only queues
+    /// the event, and the outer call reduces it.
     void post(EventBody);
 
-    /// Hands a request to the core. Its answer comes through the channel.
+    /// Passes a request to the reducer.
+    /// @param channel  receives the tokens and the final result
     RequestId submit(RequestSpec, std::shared_ptr<AnswerChannel>);
-    /// The caller is gone; nothing more is sent through the channel.
+    /// Cancels a request whose caller has disconnected. Nothing more is sent through its channel.
     void abandon(RequestId);
 
     const Reducer& reducer() const { return *m_reducer; }
-    /// @return the time as events bring it
+    /// @return the time that an event gets if it is posted now: wall-clock time at the start plus steady-clock time
+    ///     since then
     TimePoint now() const;
     const Settings& settings() const { return m_settings; }
     StoreClient& store() { return *m_store; }
     Metrics& metrics() { return m_metrics; }
+    /// @return all metrics in the text format of Prometheus
     std::string renderMetrics() const;
+    /// @param count  returns the number of open connections of callers, for the metrics
     void setConnectionCount(std::function<std::size_t()> count) { m_connectionCount = std::move(count); }
-    /// Sets what happens when a drain is finished.
+    /// @param onDrained  called when a drain has finished
     void setOnDrained(std::function<void()> onDrained) { m_onDrained = std::move(onDrained); }
 
 private:
     Node(net::io_context&, const Settings&);
     absl::Status start(const std::string& recordFile);
+    /// Reduces one event, records it and executes its effects.
     void reduceOne(EventBody);
-    void record(const Event&);
+    /// Writes an event and the effects in m_effects to the record file, if there is one.
+    void recordEvent(const Event&);
 
-    void run(const effect::StartAttempt&);
-    void run(const effect::CancelAttempt&);
-    void run(const effect::DeliverToken&);
-    void run(const effect::CompleteAnswer&);
-    void run(const effect::FailAnswer&);
-    void run(const effect::ReadClaims&);
-    void run(const effect::AppendClaims&);
-    void run(const effect::ProbeBackend&);
-    void run(const effect::SendPeerMessage&);
-    void run(const effect::FetchConfiguration&);
-    void run(const effect::FollowStore&);
-    void run(const effect::DrainFinished&);
+    void execute(const effect::StartAttempt&);
+    void execute(const effect::CancelAttempt&);
+    void execute(const effect::DeliverToken&);
+    void execute(const effect::CompleteAnswer&);
+    void execute(const effect::FailAnswer&);
+    void execute(const effect::ReadClaims&);
+    void execute(const effect::AppendClaims&);
+    void execute(const effect::ProbeBackend&);
+    void execute(const effect::SendPeerMessage&);
+    void execute(const effect::FetchConfiguration&);
+    void execute(const effect::FollowStore&);
+    void execute(const effect::DrainFinished&);
 
-    Awaitable<void> tickLoop();
-    Awaitable<void> instanceListLoop();
+    /// Posts a Tick event at a fixed interval.
+    Awaitable<void> runTicks();
+    /// Fetches the list of instances from its server at a fixed interval.
+    Awaitable<void> pollInstanceList();
+    /// Logs changes of members, backend servers and configuration since the last call.
     void logChanges();
 
     net::io_context& m_context;
     Settings m_settings;
     std::unique_ptr<Reducer> m_reducer;
     std::unique_ptr<StoreClient> m_store;
-    std::unique_ptr<BackendClient> m_backends;
-    std::unique_ptr<PeerTransport> m_peers;
-    std::unique_ptr<ClaimStore> m_claims;
+    std::unique_ptr<BackendClient> m_backendClient;
+    std::unique_ptr<PeerTransport> m_peerTransport;
+    std::unique_ptr<ClaimStore> m_claimStore;
     std::unique_ptr<ConfigurationFollower> m_follower;
-    std::unique_ptr<HttpClient> m_listClient;
+    std::unique_ptr<HttpClient> m_instanceListClient;
     Metrics m_metrics;
-    struct Open {
+    /// A request whose final result has not been sent.
+    struct OpenRequest {
         std::shared_ptr<AnswerChannel> channel;
-        std::chrono::steady_clock::time_point arrived;
-        std::chrono::steady_clock::time_point lastToken;
-        bool first = true;
+        std::chrono::steady_clock::time_point arrivedAt;
+        std::chrono::steady_clock::time_point lastTokenAt; ///< arrival of the request until the first token
+        bool isFirstTokenPending = true;
     };
-    absl::flat_hash_map<RequestId, Open> m_open;
-    std::deque<EventBody> m_queue;
-    Effects m_effects;
-    bool m_reducing = false;
-    std::uint64_t m_nextRequest = 1;
-    std::uint64_t m_events = 0;
-    pcg64 m_random;
-    std::chrono::system_clock::time_point m_wallStart;
-    std::chrono::steady_clock::time_point m_steadyStart;
-    std::ofstream m_record;
+    absl::flat_hash_map<RequestId, OpenRequest> m_openRequests;
+    std::deque<EventBody> m_eventQueue; ///< posted and not yet reduced
+    Effects m_effects; ///< of the event that is being reduced
+    bool m_isReducing = false; ///< post() is running further up the call stack
+    std::uint64_t m_nextRequestId = 1;
+    std::uint64_t m_eventCount = 0; ///< reduced events
+    pcg64 m_random; ///< gives each event its random number
+    std::chrono::system_clock::time_point m_wallClockStart;
+    std::chrono::steady_clock::time_point m_steadyClockStart;
+    std::ofstream m_recordStream; ///< closed if nothing is recorded
     std::function<std::size_t()> m_connectionCount;
     std::function<void()> m_onDrained;
+    // State that logChanges() has logged last.
     std::map<InstanceId, MemberState> m_loggedMembers;
-    std::map<BackendId, bool> m_loggedBackends;
+    std::map<BackendId, bool> m_loggedBackends; ///< whether each is reachable
     Revision m_loggedRevision;
 };
 
--- a/src/shell/OperatorApi.cpp
+++ b/src/shell/OperatorApi.cpp
@@ -16,9 +16,10 @@
 
     namespace json = boost::json;
 
-    const Revision AnyRevision(-1);
+    const Revision AnyRevision(-1); ///< from "*": the change is applied to whatever revision is current
 
-    const char* nameOf(ApplyResult result)
+    /// @return the value of "result" in a response
+    const char* resultName(ApplyResult result)
     {
         switch (result) {
         case ApplyResult::Accepted:
@@ -33,6 +34,7 @@
         return "unknown";
     }
 
+    /// @return the HTTP status of a response
     unsigned statusOf(ApplyResult result)
     {
         switch (result) {
@@ -45,8 +47,9 @@
         }
     }
 
-    /// Reads "N", "\"N\"" or "*".
-    absl::StatusOr<Revision> revisionOf(std::string text)
+    /// Parses a revision written as N, "N" in quotes, or *.
+    /// @return the revision, AnyRevision for *, or InvalidArgument
+    absl::StatusOr<Revision> parseRevision(std::string text)
     {
         std::erase(text, '"');
         if (text == "*")
@@ -57,7 +60,10 @@
         return Revision(number);
     }
 
-    absl::StatusOr<std::vector<ConfigurationEntry>> readObjects(const json::object& body)
+    /// Parses and checks the list "objects" of a change. An object whose value is null is to be deleted and gets an
+    /// empty value.
+    /// @return the entries, or InvalidArgument that names the field or the key
+    absl::StatusOr<std::vector<ConfigurationEntry>> parseObjects(const json::object& body)
     {
         const json::value* objects = body.if_contains("objects");
         if (!objects || !objects->is_array() || objects->as_array().empty())
@@ -94,13 +100,14 @@
 {
 }
 
-bool OperatorApi::authenticated(const HttpExchange& exchange) const
+bool OperatorApi::isAuthenticated(const HttpExchange& exchange) const
 {
     const std::string header = exchange.header("Authorization");
-    const std::string scheme = "Bearer ";
-    if (header.compare(0, scheme.size(), scheme) != 0)
+    const std::string prefix = "Bearer ";
+    if (header.compare(0, prefix.size(), prefix) != 0)
         return false;
-    const std::string hash = sha256Hex(header.substr(scheme.size()));
+    const std::string hash = sha256Hex(header.substr(prefix.size()));
+    // Every hash is compared, so the time does not tell which one matches.
     bool found = false;
     for (const std::string& known : m_node.settings().operatorTokenSha256)
         found = equalInConstantTime(known, hash) || found;
@@ -112,7 +119,7 @@
     const std::string path = exchange.path();
     const auto verb = exchange.request().method();
     HttpReply reply;
-    if (!authenticated(exchange)) {
+    if (!isAuthenticated(exchange)) {
         reply = problem(401, "unauthenticated", "expected 'Authorization: Bearer TOKEN' of an operator");
     } else if (path == "/admin/v1/apply" && verb == http::verb::post) {
         co_await apply(exchange);
@@ -135,16 +142,16 @@
 
 HttpReply OperatorApi::configuration() const
 {
-    const ConfigurationChange whole = m_node.reducer().configurationSince(Revision());
+    const ConfigurationChange change = m_node.reducer().configurationSince(Revision());
     json::array objects;
-    for (const ConfigurationEntry& entry : whole.entries)
+    for (const ConfigurationEntry& entry : change.entries)
         objects.push_back(
             { { "key", entry.key }, { "modified", entry.modified.value() }, { "value", json::parse(entry.value) } });
     HttpReply reply;
-    json::object body { { "revision", whole.revision.value() } };
+    json::object body { { "revision", change.revision.value() } };
     body["objects"] = std::move(objects);
     reply.body = json::serialize(body);
-    reply.headers.emplace_back("ETag", absl::StrCat("\"", whole.revision.value(), "\""));
+    reply.headers.emplace_back("ETag", absl::StrCat("\"", change.revision.value(), "\""));
     return reply;
 }
 
@@ -178,17 +185,17 @@
 
 std::vector<std::string> OperatorApi::warningsFor(const std::vector<ConfigurationEntry>& entries) const
 {
-    Configuration after = m_node.reducer().configuration();
+    Configuration changedConfiguration = m_node.reducer().configuration();
     for (const ConfigurationEntry& entry : entries)
-        (void)applyEntry(entry, after);
+        (void)applyEntry(entry, changedConfiguration);
     std::vector<std::string> warnings;
-    for (const auto& [id, pipeline] : after.pipelines) {
-        for (const auto& wanted : pipeline.selector) {
-            const bool found = std::any_of(after.backends.begin(), after.backends.end(),
-                [&](const auto& each) { return matches({ wanted }, each.second.labels); });
+    for (const auto& [id, pipeline] : changedConfiguration.pipelines) {
+        for (const auto& label : pipeline.selector) {
+            const bool found = std::any_of(changedConfiguration.backends.begin(), changedConfiguration.backends.end(),
+                [&](const auto& each) { return matches({ label }, each.second.labels); });
             if (!found)
                 warnings.push_back(absl::StrCat(
-                    "pipelines/", id.value(), ": no backend server has the label ", wanted.first, "=", wanted.second));
+                    "pipelines/", id.value(), ": no backend server has the label ", label.first, "=", label.second));
         }
     }
     return warnings;
@@ -199,11 +206,11 @@
     HttpReply reply;
     boost::system::error_code error;
     const json::value document = json::parse(exchange.request().body(), error);
-    const auto base = revisionOf(exchange.header("If-Match"));
+    const auto base = parseRevision(exchange.header("If-Match"));
     absl::StatusOr<std::vector<ConfigurationEntry>> entries
         = absl::InvalidArgumentError("body: expected a JSON object");
     if (!error && document.is_object())
-        entries = readObjects(document.as_object());
+        entries = parseObjects(document.as_object());
     if (!base.ok() || !entries.ok()) {
         reply = problem(400, "invalid_request",
             base.ok() ? std::string(entries.status().message())
@@ -231,7 +238,7 @@
             entry.modified = outcome.revision;
         m_node.post(event::ConfigurationRead { std::move(change), true });
     }
-    json::object body { { "result", nameOf(outcome.result) }, { "revision", outcome.revision.value() },
+    json::object body { { "result", resultName(outcome.result) }, { "revision", outcome.revision.value() },
         { "nonce", nonce } };
     json::array changed;
     for (const std::string& key : outcome.changed)
@@ -248,7 +255,7 @@
 
 Awaitable<void> OperatorApi::settle(HttpExchange& exchange)
 {
-    const auto base = revisionOf(exchange.query("base"));
+    const auto base = parseRevision(exchange.query("base"));
     HttpReply reply;
     if (!base.ok()) {
         reply = problem(400, "invalid_request", "base: expected a revision");
@@ -258,7 +265,7 @@
     std::string nonce = exchange.query("nonce");
     const ApplyOutcome outcome = co_await m_writer.settle(*base, std::move(nonce));
     reply.body = json::serialize(
-        json::object { { "result", nameOf(outcome.result) }, { "revision", outcome.revision.value() } });
+        json::object { { "result", resultName(outcome.result) }, { "revision", outcome.revision.value() } });
     co_await exchange.respond(std::move(reply));
 }
 
--- a/src/shell/Problem.cpp
+++ b/src/shell/Problem.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+    /// @return the HTTP status for a failed request
     unsigned statusOf(Reason reason)
     {
         switch (reason) {
@@ -37,6 +38,7 @@
         }
     }
 
+    /// @return the explanation for the caller
     const char* detailOf(Reason reason)
     {
         switch (reason) {
--- a/src/shell/Problem.h
+++ b/src/shell/Problem.h
@@ -7,13 +7,14 @@
 
 namespace crocusmount {
 
-/// @return an application/problem+json reply for a final answer that is not complete
+/// @return the application/problem+json reply for a request that the reducer has failed
 HttpReply problemOf(const effect::FailAnswer&);
 
-/// @return an application/problem+json reply for a request that never reached the core
+/// @param reason  also the title
+/// @return the application/problem+json reply for a request that was rejected before it reached the reducer
 HttpReply problem(unsigned status, const std::string& reason, const std::string& detail);
 
-/// @return the error object that ends a stream whose answer cannot be completed
+/// @return the JSON object with the error that ends a stream after its headers were sent
 std::string streamErrorOf(const effect::FailAnswer&);
 
 } // namespace crocusmount
--- a/src/shell/ServiceCall.cpp
+++ b/src/shell/ServiceCall.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-    /// Bodies may hold any bytes, not only UTF-8.
-    boost::json::value parseBytes(const std::string& text)
+    /// Parses JSON whose strings may be invalid UTF-8, because a body may hold any bytes.
+    boost::json::value parseAnyBytes(const std::string& text)
     {
         boost::json::parse_options options;
         options.allow_invalid_utf8 = true;
@@ -26,12 +26,12 @@
 
 ServiceCall serviceCallFromJson(const std::string& text)
 {
-    return boost::json::value_to<ServiceCall>(parseBytes(text));
+    return boost::json::value_to<ServiceCall>(parseAnyBytes(text));
 }
 
 ServiceAnswer serviceAnswerFromJson(const std::string& text)
 {
-    return boost::json::value_to<ServiceAnswer>(parseBytes(text));
+    return boost::json::value_to<ServiceAnswer>(parseAnyBytes(text));
 }
 
 } // namespace crocusmount
--- a/src/shell/ServiceCall.h
+++ b/src/shell/ServiceCall.h
@@ -4,24 +4,24 @@
 
 namespace crocusmount {
 
-/// A call to a plain service, carried through the core as the text of a prompt.
+/// A call to a plain service. The reducer handles it as the prompt of a request, in JSON.
 struct ServiceCall {
     std::string method = "GET";
-    std::string target = "/";
+    std::string target = "/"; ///< path and query
     std::string contentType;
     std::string body;
 };
 
-/// A plain service's answer, carried through the core as the text of one token.
+/// The answer of a plain service. The reducer handles it as the only token of an answer, in JSON.
 struct ServiceAnswer {
-    unsigned status = 200;
+    unsigned status = 200; ///< HTTP status
     std::string contentType;
     std::string body;
 };
 
 std::string toJson(const ServiceCall&);
 std::string toJson(const ServiceAnswer&);
-/// @param text  what toJson() made
+/// @param text  result of toJson(); other text throws
 ServiceCall serviceCallFromJson(const std::string& text);
 ServiceAnswer serviceAnswerFromJson(const std::string& text);
 
--- a/src/shell/SseParser.h
+++ b/src/shell/SseParser.h
@@ -5,20 +5,21 @@
 
 namespace crocusmount {
 
-/// Splits a server-sent event stream into the data of its events. Other fields and comments are passed over.
+/// Extracts the values of the "data" lines from a stream of server-sent events. Other fields and comments are ignored.
 class SseParser {
 public:
-    /// Takes in the next bytes.
-    /// @param onData  called with the data of each event that is now complete; returns false to stop
-    /// @return false if onData did
+    /// Parses the next bytes of the stream.
+    /// @param onData  called with the value of each complete "data" line; returns false to stop parsing
+    /// @return false if onData returned false
     template <typename OnData>
     bool feed(std::string_view bytes, OnData&& onData)
     {
-        m_line.append(bytes);
+        m_pending.append(bytes);
         std::size_t begin = 0;
-        bool wanted = true;
-        for (auto end = m_line.find('\n'); wanted && end != std::string::npos; end = m_line.find('\n', begin)) {
-            std::string_view line(m_line.data() + begin, end - begin);
+        bool wantsMore = true;
+        for (auto end = m_pending.find('\n'); wantsMore && end != std::string::npos;
+             end = m_pending.find('\n', begin)) {
+            std::string_view line(m_pending.data() + begin, end - begin);
             if (!line.empty() && line.back() == '\r')
                 line.remove_suffix(1);
             constexpr std::string_view field = "data:";
@@ -26,16 +27,16 @@
                 line.remove_prefix(field.size());
                 if (!line.empty() && line.front() == ' ')
                     line.remove_prefix(1);
-                wanted = onData(line);
+                wantsMore = onData(line);
             }
             begin = end + 1;
         }
-        m_line.erase(0, begin);
-        return wanted;
+        m_pending.erase(0, begin);
+        return wantsMore;
     }
 
 private:
-    std::string m_line;
+    std::string m_pending; ///< incomplete last line
 };
 
 } // namespace crocusmount
--- a/tests/CallStoryTest.cpp
+++ b/tests/CallStoryTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr const char* Lines[] = {
+constexpr const char* LogLines[] = {
     R"(  16.40 front-b {"time_ms":2400,"instance":"b","what":"answer","call":"c1","outcome":"completed","total_ms":400})",
     R"({"time_ms":2000,"instance":"a","what":"attempt","call":"c1","server":"i-1","chain":"i-1=0-4,i-2=4-8"})",
     R"({"time_ms":2100,"instance":"a","what":"engine_checked","engine":"i-2","answered":false,"slowness":0})",
@@ -25,14 +25,14 @@
 CallStory storyOf(const char* call)
 {
     CallStory story(call);
-    for (const char* line : Lines)
+    for (const char* line : LogLines)
         story.take(line);
     return story;
 }
 
 } // namespace
 
-TEST(CallStory, ACallsLinesAndWhatWasBelievedOfItsEnginesComeInOrderOfTime)
+TEST(CallStory, LinesOfACallAndOfItsEnginesAreSortedByTime)
 {
     const CallStory story = storyOf("c1");
     CHECK_TRUE(story.isKnown());
@@ -49,7 +49,7 @@
     }
 }
 
-TEST(CallStory, WhatWasHeldAgainstItsRequestIsShown)
+TEST(CallStory, QuarantineOfTheRequestIsShown)
 {
     const auto lines = storyOf("c4").lines();
     CHECK_EQUAL(2U, lines.size());
@@ -59,14 +59,14 @@
     CHECK_EQUAL(0, lines[1].at("since_ms").as_int64());
 }
 
-TEST(CallStory, TheTextHoldsALineEach)
+TEST(CallStory, TextHasOneRowPerLogLine)
 {
     const std::string text = storyOf("c2").text();
     CHECK_TRUE(text.find("0 ms  a  attempt") == 0);
     CHECK_EQUAL(1, std::count(text.begin(), text.end(), '\n'));
 }
 
-TEST(CallStory, AnUnknownCallHasNoStory)
+TEST(CallStory, UnknownCallHasNoLines)
 {
     const CallStory story = storyOf("c3");
     CHECK_FALSE(story.isKnown());
--- a/tests/fakes/NoControl.h
+++ b/tests/fakes/NoControl.h
@@ -4,7 +4,7 @@
 
 namespace crocusmount {
 
-/// Engines that live and take no orders.
+/// Engine control whose engines pass every health check and refuse every order.
 class NoControl final : public EngineControl {
 private:
     Awaitable<EngineReport> onCheck(std::string) override { co_return EngineReport { CheckAnswer::Alive, 1, {}, {} }; }
