--- a/src/shell/BackendClient.h
+++ b/src/shell/BackendClient.h
@@ -14,9 +14,9 @@
     using Post = std::function<void(EventBody)>;
 
     virtual ~BackendClient() = default;
-    /// Starts an attempt. Its tokens, end or failure are posted as events.
+    /// Starts an attempt. Its tokens and its end or failure are posted as events.
     void start(const effect::StartAttempt& attempt) { onStart(attempt); }
-    /// Cancels an attempt. No more events are posted for it.
+    /// Cancels an attempt, and no more events are posted for it. An attempt at a plain service is not cancelled.
     void cancel(AttemptId attempt) { onCancel(attempt); }
     /// Sends a health probe and posts BackendReported or BackendUnreachable.
     /// @param service  configuration of the server if it is a plain service, which returns no load report; null for
--- a/src/shell/CallStory.h
+++ b/src/shell/CallStory.h
@@ -40,7 +40,7 @@
     std::string m_call;
     std::vector<boost::json::object> m_callLines; ///< of the call
     std::vector<boost::json::object> m_engineLines; ///< about engines: their states, and orders to them
-    std::vector<boost::json::object> m_requestLines; ///< about requests under which servers ended, without a call
+    std::vector<boost::json::object> m_requestLines; ///< about requests under which servers ended, such as a quarantine
     std::uint64_t m_unreadable = 0;
 };
 
--- a/src/shell/CallerApi.cpp
+++ b/src/shell/CallerApi.cpp
@@ -22,7 +22,7 @@
     /// @return the text as a JSON string with quotes
     std::string toJsonString(const std::string& text) { return json::serialize(json::string(text)); }
 
-    /// @param chunk  a part of a stream instead of a whole answer
+    /// @param chunk  whether the answer is one chunk of a stream
     /// @return the value of "object" in an answer
     std::string objectName(bool chat, bool chunk)
     {
@@ -127,7 +127,8 @@
     const std::string path = exchange.path();
     const auto verb = exchange.request().method();
     if (m_node.reducer().configuration().revision == Revision()) {
-        // A new instance has no tokens yet. It answers 503 instead of 401, because the token may be valid.
+        // A new instance has no tokens yet. It answers 503 instead of 401, because the token of the caller may be
+        // valid.
         HttpReply reply = problem(503, "not_ready", "this instance has no configuration yet");
         reply.headers.emplace_back("Retry-After", "1");
         co_await exchange.respond(std::move(reply));
--- a/src/shell/HttpBackendClient.h
+++ b/src/shell/HttpBackendClient.h
@@ -43,7 +43,7 @@
     AttemptId attemptFromWireName(std::string_view) const;
 
     net::io_context& m_context;
-    std::string m_attemptPrefix; ///< see the constructor
+    std::string m_attemptPrefix; ///< of the names of attempts on the wire, unique for this process
     Post m_post;
     HttpClient m_client;
     absl::flat_hash_map<AttemptId, std::shared_ptr<HttpClient::Handle>> m_runningStreams; ///< without cancelled ones
--- a/src/shell/HttpClient.h
+++ b/src/shell/HttpClient.h
@@ -29,8 +29,8 @@
     /// Limit of a call() for sending the request and receiving the whole answer, and of a stream() for sending the
     /// request. Connecting has the same limit, but at most one second.
     std::chrono::milliseconds timeout { 2000 };
-    bool probed
-        = false; ///< TCP keepalive closes a new connection when the peer has been silent for two to three seconds
+    /// Enables TCP keepalive on a new connection: it is reset when the peer has been silent for two to three seconds.
+    bool probed = false;
     bool freshConnection = false; ///< use no idle connection, because the server may have closed it
 };
 
@@ -41,7 +41,7 @@
     std::string body;
     std::string contentType;
     std::string error; ///< error message; empty if the phase is Answered
-    bool refused = false; ///< the connection was refused: nothing listens at the address
+    bool refused = false; ///< the host refused the connection, because no process listens at the address
     bool silent = false; ///< after sending, a call() had no answer within the timeout of the call or of TCP
     std::map<std::string, std::string> headers; ///< by name in lower case
 };
--- a/src/shell/HttpServer.cpp
+++ b/src/shell/HttpServer.cpp
@@ -231,7 +231,8 @@
         if (error == net::error::operation_aborted || !state->acceptor.is_open())
             co_return;
         if (error) {
-            // For example no file descriptor is free. Open connections may end soon, so the next accept waits a little.
+            // For example no file descriptor is free. Open connections are still served, so the loop accepts
+            // again after a short wait.
             retryTimer.expires_after(std::chrono::milliseconds(50));
             co_await retryTimer.async_wait(asTuple);
             continue;
--- a/src/shell/HttpServer.h
+++ b/src/shell/HttpServer.h
@@ -17,9 +17,9 @@
     std::uint32_t headerBytes = 16384; ///< of one request
     std::uint64_t bodyBytes = 1 << 20; ///< of one request
     std::chrono::milliseconds readTimeout { 10000 }; ///< from the first byte of a request to its last
-    std::chrono::milliseconds writeTimeout { 10000 }; ///< for one write
+    std::chrono::milliseconds writeTimeout { 10000 }; ///< for one write, which a slow caller delays
     std::chrono::milliseconds idleTimeout { 120000 }; ///< without a byte before a request
-    std::uint32_t connections = 20000; ///< open at once
+    std::uint32_t connections = 20000; ///< open at once; above this, requests are rejected with status 503
 };
 
 /// A response that is sent whole.
@@ -48,9 +48,11 @@
     /// @return the value of a header; empty if it is missing
     std::string header(const std::string& name) const;
 
+    /// Sends a whole response.
     Awaitable<bool> respond(HttpReply);
     /// Sends status 200 and the headers of a chunked response.
     Awaitable<bool> beginStream(std::string contentType);
+    /// Sends the next part of a chunked response.
     Awaitable<bool> writeChunk(std::string);
     /// Sends the last, empty chunk.
     Awaitable<bool> endStream();
@@ -93,7 +95,7 @@
     virtual Awaitable<void> onExchange(HttpExchange&) = 0;
 };
 
-/// Serves HTTP/1.1 on one address.
+/// Serves HTTP/1.1 on one address, within HttpLimits.
 class HttpServer {
 public:
     /// Starts to listen and to accept connections.
--- a/src/shell/Node.h
+++ b/src/shell/Node.h
@@ -41,6 +41,7 @@
 
     /// Passes a request to the reducer.
     /// @param channel  receives the tokens and the final result
+    /// @return the id of the request, for abandon()
     RequestId submit(RequestSpec, std::shared_ptr<AnswerChannel>);
     /// Cancels a request whose caller has disconnected. Nothing more is sent through its channel.
     void abandon(RequestId);
--- a/src/shell/Sha256.h
+++ b/src/shell/Sha256.h
@@ -15,6 +15,7 @@
 std::string sha256Hex(const std::string& text);
 
 /// Compares two texts in a time that depends only on their lengths, so that it does not reveal a secret.
+/// @return whether the texts are equal
 bool equalInConstantTime(const std::string&, const std::string&);
 
 } // namespace crocusmount
