--- a/src/shell/CallStory.h
+++ b/src/shell/CallStory.h
@@ -12,7 +12,7 @@
 /// - the log lines of the call
 /// - the states of its engines as seen by the instances that handled it
 /// - the orders of any instance to its engines
-/// - log lines of any instance about its request, such as a quarantine
+/// - log lines of any instance about its request up to the last line of the call, such as a quarantine
 class CallStory {
 public:
     /// @param call  id of the call, as in the field "call" of the logs
