--- a/include/crocusmount/BackendReport.h
+++ b/include/crocusmount/BackendReport.h
@@ -7,16 +7,16 @@
 
 namespace crocusmount {
 
-/// What a backend server says of itself; it lags what is true.
+/// The state that a backend server reports about itself. The actual state may have changed since the report.
 struct BackendReport {
     BackendId backend;
-    std::string model;
-    LayerRange layers;
+    std::string model; ///< name of the model whose layers it holds
+    LayerRange layers; ///< layers that it holds
     Generation generation;
-    std::uint32_t slots = 1; ///< steps that it runs at once
-    std::int64_t stepMicros = 1000; ///< time of one step over its layers
-    std::uint32_t running = 0; ///< streams that hold a place on it
-    bool leaving = false;
+    std::uint32_t slots = 1; ///< steps that it can run concurrently
+    std::int64_t stepMicros = 1000; ///< duration of one step over its layers, in microseconds
+    std::uint32_t running = 0; ///< open streams through this server; may exceed its slots
+    bool leaving = false; ///< whether it accepts no new work because it will shut down
 };
 
 } // namespace crocusmount
--- a/include/crocusmount/Chain.h
+++ b/include/crocusmount/Chain.h
@@ -9,24 +9,28 @@
 
 namespace crocusmount {
 
-/// The ordered stages that run one token. A Chain exists only if its ranges tile the model.
+/// The ordered stages that compute one token. Except for a default-constructed chain, the layer ranges of the stages
+/// cover the model from its first to its last layer without gap or overlap.
 class Chain {
 public:
-    /// An empty chain, for containers; it is never dispatched.
+    /// Creates an empty chain, for use in containers. An empty chain is never dispatched.
     Chain() = default;
 
-    /// Builds a chain.
-    /// @param layerCount  the layers of the model
-    /// @param hops        the stages in order
-    /// @return the chain, or InvalidArgument that names the gap, overlap or repeated stage
+    /// Creates a chain from its stages.
+    /// @param layerCount  number of layers of the model
+    /// @param hops        stages in the order in which they run
+    /// @return the chain; InvalidArgument if a range is empty, a layer is missing or covered twice, or the stages are
+    ///         out of order
     static absl::StatusOr<Chain> make(std::uint32_t layerCount, std::vector<Hop> hops);
 
+    /// @return the stages in the order in which they run
     const std::vector<Hop>& hops() const { return m_hops; }
 
-    /// The form in which engines report the stages that made a token: "backend:begin-end@generation,...".
-    /// A token whose trace equals this text was run by every layer once, in order.
+    /// @return the stages as engines report them with each token: "backend:begin-end@generation,..."; a token whose
+    ///         trace equals this text passed through every layer exactly once and in order
     const std::string& trace() const { return m_trace; }
 
+    /// @return whether a backend server is a stage of this chain
     bool contains(const BackendId&) const;
 
     bool operator==(const Chain&) const = default;
@@ -38,7 +42,7 @@
     std::string m_trace;
 };
 
-/// @return the trace entry that one stage adds
+/// @return the part of a trace that describes one stage: "backend:begin-end@generation"
 std::string traceEntry(const BackendId&, const LayerRange&, Generation);
 
 } // namespace crocusmount
--- a/include/crocusmount/ChainPicker.h
+++ b/include/crocusmount/ChainPicker.h
@@ -12,35 +12,38 @@
 
 namespace crocusmount {
 
-/// What a picker may look at for one request.
+/// The input of a ChainPicker for one request.
 struct RouteQuery {
-    std::uint32_t layerCount = 0;
-    const std::vector<Stage>& stages; ///< those with room, all of one model
-    std::uint64_t entropy = 0;
-    double jitter = 0.02; ///< random part of a stage's fill
+    std::uint32_t layerCount = 0; ///< number of layers of the model
+    const std::vector<Stage>& stages; ///< stages of the model that have free capacity
+    std::uint64_t entropy = 0; ///< random bits, the only source of randomness of a pick
+    double jitter = 0.02; ///< upper bound of the random amount that is added to a stage's fill (a fraction)
 };
 
-/// Chooses the stages for one attempt. Implementations differ only in how they choose among stages that fit.
+/// Chooses the stages for one attempt. All pickers see the stages of a query; they differ in which of these they
+/// choose.
 class ChainPicker {
 public:
     virtual ~ChainPicker() = default;
 
     /// Picks a chain.
-    /// @return the chain, or nothing where the stages do not tile the model
+    /// @return the chain, or nullopt if no sequence of the stages covers the model
     std::optional<Chain> pick(const RouteQuery&);
 
-    /// @return whether any stages of a query tile the model
+    /// @return whether some sequence of the stages of a query covers the model
     static bool reachesEnd(const RouteQuery&);
 
-    /// @return a picker by name: "flow", "random", "round_robin", "least_reported" or "power_of_two";
-    ///         null for another name
+    /// Creates a picker by name.
+    /// @param name  "flow", "random", "round_robin", "least_reported" or "power_of_two"
+    /// @return the picker, or null if the name is unknown
     static std::unique_ptr<ChainPicker> make(std::string_view name);
 
 protected:
+    /// Stages in the order of their layers.
     using Path = std::vector<const Stage*>;
 
 private:
-    /// @return the stages of a path from layer 0 to the last, in order; empty where there is none
+    /// @return stages that cover the model from its first to its last layer, or an empty path if there are none
     virtual Path onPick(const RouteQuery&) = 0;
 };
 
--- a/include/crocusmount/Configuration.h
+++ b/include/crocusmount/Configuration.h
@@ -11,31 +11,31 @@
 
 namespace crocusmount {
 
-/// What a pipeline does; decides its place in the queues and its default deadline.
+/// The type of work of a pipeline. It determines the priority of its requests.
 enum class PipelineKind {
-    Generation,
-    Lookup,
-    Service, ///< a plain service: one backend server, one answer
+    Generation, ///< long streams of tokens
+    Lookup, ///< short requests that are dispatched before generations
+    Service, ///< calls of a plain service (one backend server, one answer); dispatched before generations
 };
 
-/// A customer's workspace.
+/// A workspace of a customer.
 struct Workspace {
     WorkspaceId id;
     Labels labels;
-    std::uint32_t weight = 1; ///< share of the capacity when workspaces compete
-    std::vector<std::string> tokenSha256; ///< SHA-256 of each bearer token, lower-case hex
+    std::uint32_t weight = 1; ///< relative share of the capacity when workspaces compete for it
+    std::vector<std::string> tokenSha256; ///< SHA-256 of each bearer token, in lower-case hex digits
 };
 
-/// A model carried across backend servers.
+/// A model that callers can use, with its layers distributed over backend servers.
 struct Pipeline {
     PipelineId id;
     PipelineKind kind = PipelineKind::Generation;
-    std::string model;
-    std::uint32_t layers = 1;
-    Labels selector; ///< labels a backend server must have
-    Labels workspaceSelector; ///< labels a workspace must have to call it
-    std::int64_t deadlineMs = 60000; ///< for requests that name none
-    std::uint32_t maxTokens = 512; ///< upper bound for a request
+    std::string model; ///< name of the model as backend servers report it
+    std::uint32_t layers = 1; ///< number of layers of the model
+    Labels selector; ///< labels that a backend server must have to serve this pipeline
+    Labels workspaceSelector; ///< labels that a workspace must have to use this pipeline
+    std::int64_t deadlineMs = 60000; ///< timeout of requests that specify none, in milliseconds
+    std::uint32_t maxTokens = 512; ///< upper bound of the tokens that a request may ask for
 };
 
 /// A model engine or a plain service.
@@ -43,12 +43,12 @@
     BackendId id;
     std::string address; ///< "ip:port"
     DataCentreId dataCentre;
-    std::string accelerator;
-    std::string service; ///< name of the plain service that it is; empty for a model engine
-    std::uint32_t slots = 8; ///< calls that a plain service takes at once
+    std::string accelerator; ///< type of its accelerator
+    std::string service; ///< name of the plain service that it provides; empty for a model engine
+    std::uint32_t slots = 8; ///< calls that a plain service can handle concurrently
     Labels labels;
-    bool fenced = true; ///< whether it refuses an order with an old fencing number
-    bool leaving = false; ///< operators' word that it gets no new work
+    bool fenced = true; ///< whether it rejects orders with an outdated fencing token
+    bool leaving = false; ///< whether operators have excluded it from new work
 };
 
 /// The operators' configuration at one revision of the store.
--- a/include/crocusmount/ConfigurationChange.h
+++ b/include/crocusmount/ConfigurationChange.h
@@ -7,18 +7,18 @@
 
 namespace crocusmount {
 
-/// One configured object as the store holds it.
+/// A configured object as it is stored.
 struct ConfigurationEntry {
     std::string key; ///< "workspaces/ID", "pipelines/ID" or "backends/ID"
-    std::string value; ///< the object as JSON; empty: deleted
-    Revision modified;
+    std::string value; ///< the object as JSON; empty if the object was deleted
+    Revision modified; ///< revision of the last change of this object
 };
 
-/// What leads from one revision of the configuration to a later one.
+/// The difference between two revisions of the configuration.
 struct ConfigurationChange {
-    Revision base; ///< the change holds everything after this revision; 0: it is the whole configuration
-    Revision revision;
-    std::vector<ConfigurationEntry> entries;
+    Revision base; ///< the change contains all modifications after this revision; 0 for a complete configuration
+    Revision revision; ///< revision of the configuration after the change
+    std::vector<ConfigurationEntry> entries; ///< the modified objects
 };
 
 } // namespace crocusmount
--- a/include/crocusmount/Effect.h
+++ b/include/crocusmount/Effect.h
@@ -14,92 +14,101 @@
 #include <variant>
 #include <vector>
 
-/// The closed family of effects: what the shell is to do, as data.
+/// Effects: the actions that the core asks the shell to perform. They are plain data without behaviour.
 namespace crocusmount::effect {
 
+/// Starts an attempt to run a request on a chain.
 struct StartAttempt {
     AttemptId attempt;
     RequestId request;
     Chain chain;
     std::string prompt;
-    std::uint32_t maxTokens = 0;
-    std::vector<std::string> emitted; ///< tokens that the caller has already; the stream goes on after them
-    int priority = 0;
+    std::uint32_t maxTokens = 0; ///< upper bound of the tokens of the whole answer, emitted ones included
+    std::vector<std::string> emitted; ///< tokens already delivered to the caller; the attempt continues after them
+    int priority = 0; ///< priority from the caller's request
     PipelineKind kind = PipelineKind::Generation;
-    bool repeatable = true;
+    bool repeatable = true; ///< whether the request may run more than once
 };
 
-/// Close the attempt's stream so that every stage gives up its place.
+/// Closes the stream of an attempt so that every stage frees its resources.
 struct CancelAttempt {
     AttemptId attempt;
 };
 
+/// Sends a token to the caller.
 struct DeliverToken {
     RequestId request;
-    std::uint32_t index = 0;
+    std::uint32_t index = 0; ///< position of the token in the answer, from 0
     std::string text;
 };
 
+/// Ends an answer whose tokens have all been delivered.
 struct CompleteAnswer {
     RequestId request;
-    std::uint32_t count = 0;
+    std::uint32_t count = 0; ///< number of tokens of the answer
 };
 
-/// The final answer to a request that is not complete.
+/// Ends the answer to a request that was refused or failed.
 struct FailAnswer {
     RequestId request;
     Reason reason = Reason::BackendError;
     RunState run = RunState::MayHaveRun;
-    Duration retryAfter {}; ///< zero: no use in coming back
+    Duration retryAfter {}; ///< when the caller should try again; 0 if a new try would not help
 };
 
+/// Reads the batches of a shard of the claim log.
 struct ReadClaims {
     ShardId shard;
-    std::uint64_t afterSequence = 0;
+    std::uint64_t afterSequence = 0; ///< batches up to this sequence number are already known
 };
 
-/// Append one batch if the log's head still stands at the expected revision.
+/// Appends a batch to a shard of the claim log if the log's head has the expected revision.
 struct AppendClaims {
     ShardId shard;
-    std::int64_t expectedHeadRevision = 0;
-    std::uint64_t sequence = 0;
-    std::uint64_t trimBelow = 0; ///< batches before this one are past their retention and may go
+    std::int64_t expectedHeadRevision = 0; ///< 0 if the shard's log is expected to be empty
+    std::uint64_t sequence = 0; ///< sequence number of the new batch
+    std::uint64_t trimBelow
+        = 0; ///< batches with a lower sequence number are past their retention and may be deleted; 0 for none
     TimePoint writtenAt;
     std::vector<Claim> claims;
 };
 
+/// Requests a report from a backend server.
 struct ProbeBackend {
     BackendId backend;
-    std::string address;
-    TimePoint asked; ///< comes back with the report, which is no younger than this
+    std::string address; ///< "ip:port"
+    TimePoint asked; ///< time of this effect; returned with the report, whose age is counted from here
 };
 
+/// Sends a datagram to another instance.
 struct SendPeerMessage {
-    std::string address;
+    std::string address; ///< "ip:port"
     PeerMessage message;
 };
 
-/// Fetch the configuration from a peer that has a newer one.
+/// Fetches the configuration from another instance, which has a newer revision.
 struct FetchConfiguration {
-    std::string peerAddress;
+    std::string peerAddress; ///< "ip:port"
 };
 
-/// Hold the store's watch on the configuration, or let go of it.
+/// Starts or stops watching the configuration in the store.
 struct FollowStore {
-    bool follow = false;
+    bool follow = false; ///< true to start, false to stop
 };
 
-/// Every stream has ended; the process may stop.
+/// Reports that the drain is complete and the process may exit.
 struct DrainFinished { };
 
 } // namespace crocusmount::effect
 
 namespace crocusmount {
 
+/// One action for the shell.
 using Effect = std::variant<effect::StartAttempt, effect::CancelAttempt, effect::DeliverToken, effect::CompleteAnswer,
     effect::FailAnswer, effect::ReadClaims, effect::AppendClaims, effect::ProbeBackend, effect::SendPeerMessage,
     effect::FetchConfiguration, effect::FollowStore, effect::DrainFinished>;
 
+/// Actions in the order in which the shell performs them.
 using Effects = std::vector<Effect>;
 
 } // namespace crocusmount
--- a/include/crocusmount/Hop.h
+++ b/include/crocusmount/Hop.h
@@ -7,12 +7,12 @@
 
 namespace crocusmount {
 
-/// One stage of a chain: a backend server, the layers it is to run, and the generation of its holding.
+/// One stage of a chain: a backend server, the layers that it runs, and the generation of the layers that it holds.
 struct Hop {
     BackendId backend;
     std::string address; ///< "ip:port"
-    LayerRange layers;
-    Generation generation;
+    LayerRange layers; ///< layers that the stage runs
+    Generation generation; ///< generation that the server reported for these layers
 
     bool operator==(const Hop&) const = default;
 };
--- a/include/crocusmount/Ids.h
+++ b/include/crocusmount/Ids.h
@@ -6,25 +6,28 @@
 
 namespace crocusmount {
 
-/// One request of a caller, unique within the instance that received it.
+/// A request of a caller. Unique within one run of the instance that received it.
 using RequestId = StrongId<struct RequestTag, std::uint64_t>;
-/// One try at a request on one chain.
+/// One attempt to run a request on one chain. Unique within one run of an instance.
 using AttemptId = StrongId<struct AttemptTag, std::uint64_t>;
-/// One entry instance of crocusmount.
+/// An entry instance of crocusmount.
 using InstanceId = StrongId<struct InstanceTag, std::string>;
-/// One backend server: a model engine or a plain service.
+/// A backend server: a model engine or a plain service.
 using BackendId = StrongId<struct BackendTag, std::string>;
-/// The time at which one start of a backend server began, in Unix milliseconds by its own clock; zero where it does not
-/// say. Its id and this name one start.
+/// The time at which a process of a backend server started, in Unix milliseconds by its own clock; 0 if it does not
+/// report a time. BackendId and StartTime together identify one process.
 using StartTime = StrongId<struct StartTimeTag, std::int64_t>;
+/// A workspace of a customer.
 using WorkspaceId = StrongId<struct WorkspaceTag, std::string>;
+/// A pipeline, that is a model that callers can use.
 using PipelineId = StrongId<struct PipelineTag, std::string>;
+/// A data centre in which instances and backend servers run.
 using DataCentreId = StrongId<struct DataCentreTag, std::string>;
-/// A revision of the platform's store; grows with every accepted write.
+/// A revision of the platform's store. It increases with every accepted write; 0 if not known.
 using Revision = StrongId<struct RevisionTag, std::int64_t>;
-/// Counts the changes of what one engine holds.
+/// The number of times the layers held by an engine have changed.
 using Generation = StrongId<struct GenerationTag, std::uint64_t>;
-/// One shard of the log of claims.
+/// A shard of the claim log.
 using ShardId = StrongId<struct ShardTag, std::uint32_t>;
 
 } // namespace crocusmount
--- a/include/crocusmount/PeerMessage.h
+++ b/include/crocusmount/PeerMessage.h
@@ -10,49 +10,52 @@
 
 namespace crocusmount {
 
-/// How an instance stands in the view of another.
+/// The state of an instance as another instance sees it. Ordered: see MemberUpdate.
 enum class MemberState {
     Alive,
-    Suspect,
-    Leaving, ///< finishing its streams; callers are no longer sent to it
+    Suspect, ///< did not answer a ping; Dead unless it refutes this before a timeout
+    Leaving, ///< drains its streams and receives no new callers
     Dead,
 };
 
-/// @return the state in lower case, for logs and answers
+/// @return the name of the state in lower case, for logs and answers
 const char* toString(MemberState);
 
-/// What is told of one instance. A higher incarnation goes before a lower; within one, the later state does.
+/// Membership information on one instance. An update replaces another one if its incarnation is higher, or if the
+/// incarnations are equal and its state is later in MemberState.
 struct MemberUpdate {
     InstanceId instance;
-    std::string peerAddress; ///< "ip:port" for datagrams and configuration
+    std::string peerAddress; ///< "ip:port" for datagrams and for the configuration
     std::string callerAddress; ///< "ip:port" for callers
     DataCentreId dataCentre;
-    std::uint64_t incarnation = 0;
+    std::uint64_t incarnation = 0; ///< increased by the instance when it restarts, leaves or refutes a suspicion
     MemberState state = MemberState::Alive;
-    Revision revision; ///< configuration in force there
+    Revision revision; ///< revision of its configuration in force
 };
 
-/// A watcher's word on a backend server.
+/// The state of a backend server as seen by an instance that probes it.
 struct BackendNews {
     BackendReport report;
-    bool reachable = true;
-    Duration age {}; ///< of the report when it was passed on
-    std::uint64_t sequence = 0; ///< grows with each change of the report; decides between watchers
+    bool reachable = true; ///< whether the server answers probes
+    Duration age {}; ///< age of the report when this was sent
+    std::uint64_t sequence
+        = 0; ///< increases with each change of the state; if several instances probe the server, the highest wins
 };
 
+/// The type of a message between instances.
 enum class PeerMessageKind {
-    Ping,
+    Ping, ///< asks the receiver for an Ack
     Ack,
-    PingRequest, ///< asks the receiver to ping the target
-    News,
+    PingRequest, ///< asks the receiver to ping the target and to forward its Ack
+    News, ///< carries updates and needs no answer
 };
 
-/// One datagram between instances.
+/// A datagram between instances. Messages of every kind can carry updates.
 struct PeerMessage {
     PeerMessageKind kind = PeerMessageKind::Ping;
-    MemberUpdate sender;
-    std::uint64_t sequence = 0; ///< pairs an Ack with its Ping
-    InstanceId target; ///< for PingRequest
+    MemberUpdate sender; ///< may lack the addresses if the receiver knows the sender
+    std::uint64_t sequence = 0; ///< matches an Ack to its Ping or PingRequest
+    InstanceId target; ///< instance to ping; only in a PingRequest
     std::vector<MemberUpdate> updates;
     std::vector<BackendNews> backends;
 };
--- a/include/crocusmount/Reason.h
+++ b/include/crocusmount/Reason.h
@@ -4,52 +4,53 @@
 
 namespace crocusmount {
 
-/// Why a request was refused or failed, why an attempt ended early, or why a frame was dropped.
-/// Each value has its own counter.
+/// The reason why a request was refused or failed, an attempt failed, or a frame was dropped. Each reason has its own
+/// counter.
 enum class Reason {
-    // Refusals and failures that callers see.
+    // Requests that were refused or failed; callers see these reasons.
     UnknownPipeline,
-    NotPermitted,
-    KeyRequired,
-    KeyClaimed,
-    KeyReused,
+    NotPermitted, ///< the workspace's labels do not match the pipeline's selector
+    KeyRequired, ///< a request that must not run twice has no idempotency key
+    KeyClaimed, ///< another request claimed the idempotency key
+    KeyReused, ///< the idempotency key was used for a request with other parameters
     StoreUnavailable,
-    DeadlineTooShort,
+    DeadlineTooShort, ///< the expected wait and run time exceed the timeout
     DeadlinePassed,
     QueueFull,
-    NoRoute,
-    RetryBudgetSpent,
-    RetriesSpent,
-    Draining,
-    Isolated,
-    NotRepeatable,
-    CallerGone,
+    NoRoute, ///< no chain of backend servers covers the model
+    RetryBudgetSpent, ///< retries exceed the permitted share of the requests
+    RetriesSpent, ///< the request had its maximum number of attempts
+    Draining, ///< this instance will exit
+    Isolated, ///< this instance has reached neither the store nor other instances for too long
+    NotRepeatable, ///< an attempt failed, and the request must not run twice
+    CallerGone, ///< the caller closed its connection
     NotConfigured, ///< no configuration has been read yet, or the one in use may be outdated
     UnknownRoute,
-    UnknownKey,
-    CrashesServers, ///< servers ended each time it ran: it is sent to none
-    NoCapacity, ///< every server that could take it is full
+    UnknownKey, ///< the API key is not known
+    CrashesServers, ///< backend servers crashed whenever the request ran; it is not sent to any more
+    NoCapacity, ///< all suitable backend servers are full
     TimedOut,
-    ServerFailure, ///< a backend server answered with a failure of its own
-    // Ends of attempts that lead to a retry or a failure.
+    ServerFailure, ///< a backend server answered with an error
+    // Attempts that failed; the request is retried or fails.
     ConnectFailed,
     ConnectionLost,
     RefusedByBackend,
     BackendError,
     StageFailed,
-    Stalled,
-    Truncated,
-    TraceMismatch,
-    IndexGap,
+    Stalled, ///< no token for too long
+    Truncated, ///< the tokens received do not match the count in the end frame
+    TraceMismatch, ///< a token was not computed by the stages of the chain
+    IndexGap, ///< a token is missing
     // Frames that were dropped.
-    LateFrame,
-    DoubledFrame,
-    CrossedFrame, ///< names another attempt than its connection's
+    LateFrame, ///< its attempt has ended
+    DoubledFrame, ///< its token was already delivered
+    CrossedFrame, ///< names another attempt than the one of its connection
 };
 
+/// The number of reasons.
 constexpr std::size_t ReasonCount = static_cast<std::size_t>(Reason::CrossedFrame) + 1; // NOLINT
 
-/// @return the snake_case name used in answers, logs and metrics
+/// @return the name of the reason in snake_case, for answers, logs and metrics
 const char* toString(Reason);
 
 } // namespace crocusmount
--- a/include/crocusmount/RequestSpec.h
+++ b/include/crocusmount/RequestSpec.h
@@ -7,16 +7,17 @@
 
 namespace crocusmount {
 
-/// What a caller asked for, checked for form but not yet admitted.
+/// The parameters of a caller's request. Their syntax is valid, but the request may still be refused.
 struct RequestSpec {
     WorkspaceId workspace;
     PipelineId pipeline;
-    std::string prompt; ///< for a plain service: the serialized call
-    std::uint32_t maxTokens = 1;
-    Duration timeout {}; ///< zero: the pipeline's default
-    int priority = 0; ///< higher goes first among requests of the same kind
-    std::string idempotencyKey; ///< empty: none
-    bool repeatable = true;
+    std::string prompt; ///< prompt for a model, or the serialized call of a plain service
+    std::uint32_t maxTokens = 1; ///< upper bound of the tokens to generate
+    Duration timeout {}; ///< time to the deadline; 0 for the pipeline's default
+    int priority
+        = 0; ///< requests with a higher priority run first among those of one PipelineKind; limited to -100 to 100
+    std::string idempotencyKey; ///< empty if the caller sent none
+    bool repeatable = true; ///< whether the request may run more than once
 };
 
 } // namespace crocusmount
--- a/include/crocusmount/StrongId.h
+++ b/include/crocusmount/StrongId.h
@@ -7,9 +7,9 @@
 
 namespace crocusmount {
 
-/// An identifier that cannot be mixed up with an identifier of another kind.
-/// @tparam Tag  an empty type that names the kind
-/// @tparam Rep  the representation, an integer or std::string
+/// An identifier with its own type, so that it cannot be passed where an identifier of another kind is expected.
+/// @tparam Tag  incomplete type that distinguishes the kinds of identifiers
+/// @tparam Rep  type of the value: an integer or std::string
 template <typename Tag, typename Rep>
 class StrongId {
 public:
@@ -21,10 +21,11 @@
     {
     }
 
-    /// @return the bare value, for printing and serialization
+    /// @return the underlying value, for printing and serialization
     const Rep& value() const { return m_value; }
 
-    auto operator<=>(const StrongId&) const = default; // NOLINT(modernize-use-nullptr): clang 14 sees its own 0
+    auto operator<=>(
+        const StrongId&) const = default; // NOLINT(modernize-use-nullptr): clang 14 reports the generated 0
     bool operator==(const StrongId&) const = default;
 
     template <typename H>
--- a/include/crocusmount/Time.h
+++ b/include/crocusmount/Time.h
@@ -5,10 +5,11 @@
 
 namespace crocusmount {
 
-/// All spans of time in the core: whole microseconds.
+/// A duration in the core, in whole microseconds.
 using Duration = std::chrono::duration<std::int64_t, std::micro>;
 
-/// The clock whose readings events bring into the core. It has no now(): the core never asks for the time.
+/// The clock of the time points in events. It has no now() because the core never reads the time; every event carries
+/// it.
 struct EventClock {
     using rep = Duration::rep;
     using period = Duration::period;
@@ -17,9 +18,11 @@
     static constexpr bool is_steady = true; // NOLINT(readability-identifier-naming)
 };
 
+/// A time in the core, in whole microseconds since the epoch of EventClock.
 using TimePoint = EventClock::time_point;
 
-/// @return a time point from a count of microseconds since the clock's epoch
+/// @param microseconds  time since the clock's epoch
+/// @return the time point
 constexpr TimePoint timePoint(std::int64_t microseconds) { return TimePoint(Duration(microseconds)); }
 
 } // namespace crocusmount
