--- a/src/config/ConfigurationJson.cpp
+++ b/src/config/ConfigurationJson.cpp
@@ -11,94 +11,101 @@
 
     namespace json = boost::json;
 
-    absl::Status invalid(const std::string& key, const std::string& what)
+    /// @param key     key of the configured object
+    /// @param detail  path of the invalid member, and the expected value
+    absl::Status invalidObject(const std::string& key, const std::string& detail)
     {
-        return absl::InvalidArgumentError(absl::StrCat(key, ": ", what));
+        return absl::InvalidArgumentError(absl::StrCat(key, ": ", detail));
     }
 
-    /// Reads an object over the defaults of its type. Keys that the type does not have are errors.
+    /// Parses an object. Members that are missing in the text keep their default values; unknown members are errors.
     template <typename T>
-    absl::StatusOr<T> readOver(const T& defaults, const std::string& key, const std::string& text)
+    absl::StatusOr<T> parseOverDefaults(const T& defaults, const std::string& key, const std::string& text)
     {
         boost::system::error_code error;
-        const json::value given = json::parse(text, error);
-        if (error || !given.is_object())
-            return invalid(key, error ? "not JSON: " + error.message() : "expected an object");
+        const json::value document = json::parse(text, error);
+        if (error || !document.is_object())
+            return invalidObject(key, error ? "not JSON: " + error.message() : "expected an object");
         json::object merged = json::value_from(defaults).as_object();
-        for (const auto& [name, value] : given.as_object()) {
+        for (const auto& [name, value] : document.as_object()) {
             if (!merged.contains(name))
-                return invalid(key, absl::StrCat("/", std::string(name), ": unknown key"));
-            json::object trial = merged;
-            trial[name] = value;
-            if (json::try_value_to<T>(json::value(trial)).has_error())
-                return invalid(
+                return invalidObject(key, absl::StrCat("/", std::string(name), ": unknown key"));
+            json::object candidate = merged;
+            candidate[name] = value;
+            if (json::try_value_to<T>(json::value(candidate)).has_error())
+                return invalidObject(
                     key, absl::StrCat("/", std::string(name), ": wrong type or value ", json::serialize(value)));
-            merged = std::move(trial);
+            merged = std::move(candidate);
         }
         return json::value_to<T>(json::value(std::move(merged)));
     }
 
-    absl::Status check(const std::string& key, const Workspace& workspace)
+    /// @return OK, or InvalidArgument that names the first member whose value is not allowed
+    absl::Status validate(const std::string& key, const Workspace& workspace)
     {
         if (!workspace.weight || workspace.weight > 1000)
-            return invalid(key, "/weight: expected 1 to 1000");
+            return invalidObject(key, "/weight: expected 1 to 1000");
         for (const std::string& hash : workspace.tokenSha256) {
             if (hash.size() != 64 || hash.find_first_not_of("0123456789abcdef") != std::string::npos)
-                return invalid(key, "/tokenSha256: expected 64 lower-case hex digits each");
+                return invalidObject(key, "/tokenSha256: expected 64 lower-case hex digits each");
         }
         return absl::OkStatus();
     }
 
-    absl::Status check(const std::string& key, const Pipeline& pipeline)
+    /// @return OK, or InvalidArgument that names the first member whose value is not allowed
+    absl::Status validate(const std::string& key, const Pipeline& pipeline)
     {
         if (pipeline.model.empty())
-            return invalid(key, "/model: expected a name");
+            return invalidObject(key, "/model: expected a name");
         if (!pipeline.layers || pipeline.layers > 10000)
-            return invalid(key, "/layers: expected 1 to 10000");
+            return invalidObject(key, "/layers: expected 1 to 10000");
         if (pipeline.deadlineMs < 1 || pipeline.deadlineMs > 3600000)
-            return invalid(key, "/deadlineMs: expected 1 to 3600000");
+            return invalidObject(key, "/deadlineMs: expected 1 to 3600000");
         if (!pipeline.maxTokens || pipeline.maxTokens > 1000000)
-            return invalid(key, "/maxTokens: expected 1 to 1000000");
+            return invalidObject(key, "/maxTokens: expected 1 to 1000000");
         return absl::OkStatus();
     }
 
-    absl::Status check(const std::string& key, const BackendServer& server)
+    /// @return OK, or InvalidArgument that names the first member whose value is not allowed
+    absl::Status validate(const std::string& key, const BackendServer& server)
     {
         const auto colon = server.address.rfind(':');
         unsigned port = 0;
         if (colon == std::string::npos || !absl::SimpleAtoi(server.address.substr(colon + 1), &port) || !port
             || port > 65535)
-            return invalid(key, "/address: expected \"ip:port\"");
+            return invalidObject(key, "/address: expected \"ip:port\"");
         if (server.dataCentre.value().empty())
-            return invalid(key, "/dataCentre: expected a name");
+            return invalidObject(key, "/dataCentre: expected a name");
         if (!server.slots)
-            return invalid(key, "/slots: expected at least 1");
+            return invalidObject(key, "/slots: expected at least 1");
         return absl::OkStatus();
     }
 
+    /// Parses an object and checks its values.
     template <typename T, typename Id>
-    absl::StatusOr<T> readObject(const Id& id, const std::string& key, const std::string& text)
+    absl::StatusOr<T> parseObject(const Id& id, const std::string& key, const std::string& text)
     {
         T defaults;
         defaults.id = id;
-        auto object = readOver(defaults, key, text);
+        auto object = parseOverDefaults(defaults, key, text);
         if (!object.ok())
             return object;
         if (object->id != id)
-            return invalid(key, "/id: differs from the key");
-        if (auto status = check(key, *object); !status.ok())
+            return invalidObject(key, "/id: differs from the key");
+        if (auto status = validate(key, *object); !status.ok())
             return status;
         return object;
     }
 
+    /// Adds an object to the objects of its kind or replaces it; removes it if the value of the entry is empty.
     template <typename T, typename Id>
-    absl::Status applyTo(std::map<Id, T>& objects, const std::string& id, const ConfigurationEntry& entry)
+    absl::Status applyObject(std::map<Id, T>& objects, const std::string& id, const ConfigurationEntry& entry)
     {
         if (entry.value.empty()) {
             objects.erase(Id(id));
             return absl::OkStatus();
         }
-        auto object = readObject<T>(Id(id), entry.key, entry.value);
+        auto object = parseObject<T>(Id(id), entry.key, entry.value);
         if (!object.ok())
             return object.status();
         objects.insert_or_assign(Id(id), *std::move(object));
@@ -113,14 +120,14 @@
     const std::string kind = entry.key.substr(0, slash);
     const std::string id = slash == std::string::npos ? "" : entry.key.substr(slash + 1);
     if (id.empty() || id.find_first_of("/ ,:@\n") != std::string::npos)
-        return invalid(entry.key, "expected KIND/ID with an id free of '/', ',', ':', '@' and blanks");
+        return invalidObject(entry.key, "expected KIND/ID with an id free of '/', ',', ':', '@' and blanks");
     if (kind == "workspaces")
-        return applyTo(configuration.workspaces, id, entry);
+        return applyObject(configuration.workspaces, id, entry);
     if (kind == "pipelines")
-        return applyTo(configuration.pipelines, id, entry);
+        return applyObject(configuration.pipelines, id, entry);
     if (kind == "backends")
-        return applyTo(configuration.backends, id, entry);
-    return invalid(entry.key, "unknown kind; expected workspaces, pipelines or backends");
+        return applyObject(configuration.backends, id, entry);
+    return invalidObject(entry.key, "unknown kind; expected workspaces, pipelines or backends");
 }
 
 std::string toJson(const Workspace& workspace) { return json::serialize(json::value_from(workspace)); }
@@ -132,14 +139,14 @@
 absl::StatusOr<ConfigurationEntry> checkedEntry(const std::string& key, const std::string& text)
 {
     ConfigurationEntry entry { key, text, Revision() };
-    Configuration scratch;
-    if (auto status = applyEntry(entry, scratch); !status.ok())
+    Configuration parsed;
+    if (auto status = applyEntry(entry, parsed); !status.ok())
         return status;
-    for (const auto& [id, workspace] : scratch.workspaces)
+    for (const auto& [id, workspace] : parsed.workspaces)
         entry.value = toJson(workspace);
-    for (const auto& [id, pipeline] : scratch.pipelines)
+    for (const auto& [id, pipeline] : parsed.pipelines)
         entry.value = toJson(pipeline);
-    for (const auto& [id, server] : scratch.backends)
+    for (const auto& [id, server] : parsed.backends)
         entry.value = toJson(server);
     return entry;
 }
--- a/src/config/ConfigurationStore.cpp
+++ b/src/config/ConfigurationStore.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-    constexpr std::size_t DeletionsKept = 1000;
+    /// A peer that has missed more deletions than this receives the complete configuration.
+    constexpr std::size_t MaxKeptDeletions = 1000;
 
 } // namespace
 
@@ -19,29 +20,29 @@
     if (entry.value.empty())
         m_deletions[entry.modified] = entry.key;
     if (!applyEntry(entry, m_parsed).ok())
-        ++m_rejected;
+        ++m_rejectedObjectCount;
 }
 
 void ConfigurationStore::trimDeletions()
 {
-    while (m_deletions.size() > DeletionsKept) {
-        m_floor = m_deletions.begin()->first;
+    while (m_deletions.size() > MaxKeptDeletions) {
+        m_trimmedUpTo = m_deletions.begin()->first;
         m_documents.erase(m_deletions.begin()->second);
         m_deletions.erase(m_deletions.begin());
     }
 }
 
-bool ConfigurationStore::apply(const ConfigurationChange& change, bool onlyForward)
+bool ConfigurationStore::apply(const ConfigurationChange& change, bool onlyNewer)
 {
     const bool newer = change.revision > m_parsed.revision;
     const bool contiguous = change.base <= m_parsed.revision;
-    if (onlyForward && (!newer || !contiguous))
+    if (onlyNewer && (!newer || !contiguous))
         return false;
     if (change.base == Revision()) {
         m_parsed = Configuration();
         m_documents.clear();
         m_deletions.clear();
-        m_floor = change.revision;
+        m_trimmedUpTo = change.revision;
     }
     for (const ConfigurationEntry& entry : change.entries)
         put(entry);
@@ -52,7 +53,7 @@
 
 ConfigurationChange ConfigurationStore::since(Revision revision) const
 {
-    const bool known = revision >= m_floor && revision != Revision();
+    const bool known = revision >= m_trimmedUpTo && revision != Revision();
     ConfigurationChange change { known ? revision : Revision(), m_parsed.revision, {} };
     for (const auto& [key, document] : m_documents) {
         const bool wanted = known ? document.modified > revision : !document.value.empty();
--- a/src/core/Chain.cpp
+++ b/src/core/Chain.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    std::string traceOf(const std::vector<Hop>& hops)
+    std::string formatTrace(const std::vector<Hop>& hops)
     {
         std::string trace;
         for (const Hop& hop : hops)
@@ -15,23 +15,25 @@
         return trace;
     }
 
+    /// @return OK if the layer ranges cover [0, layerCount) in order without gap or overlap, else InvalidArgument that
+    ///         describes the first fault
     absl::Status checkTiling(std::uint32_t layerCount, const std::vector<Hop>& hops)
     {
-        std::uint32_t next = 0;
+        std::uint32_t nextLayer = 0;
         for (const Hop& hop : hops) {
             const auto& layers = hop.layers;
             if (!layers.size())
                 return absl::InvalidArgumentError(absl::StrCat("empty range at ", hop.backend.value()));
-            if (layers.begin > next)
+            if (layers.begin > nextLayer)
                 return absl::InvalidArgumentError(
-                    absl::StrCat("gap: layers ", next, "-", layers.begin, " run nowhere"));
-            if (layers.begin < next)
+                    absl::StrCat("gap: layers ", nextLayer, "-", layers.begin, " have no stage"));
+            if (layers.begin < nextLayer)
                 return absl::InvalidArgumentError(
                     absl::StrCat("overlap or wrong order at ", hop.backend.value(), ": begins at ", layers.begin));
-            next = layers.end;
+            nextLayer = layers.end;
         }
-        if (next != layerCount)
-            return absl::InvalidArgumentError(absl::StrCat("chain ends at layer ", next, " of ", layerCount));
+        if (nextLayer != layerCount)
+            return absl::InvalidArgumentError(absl::StrCat("chain ends at layer ", nextLayer, " of ", layerCount));
         return absl::OkStatus();
     }
 
@@ -52,7 +54,7 @@
 {
     if (auto status = checkTiling(layerCount, hops); !status.ok())
         return status;
-    auto trace = traceOf(hops);
+    auto trace = formatTrace(hops);
     return Chain(std::move(hops), std::move(trace));
 }
 
--- a/src/core/DescribeValues.h
+++ b/src/core/DescribeValues.h
@@ -6,15 +6,17 @@
 #include <boost/describe.hpp>
 #include <boost/json.hpp>
 
-/// How the core's values look in JSON. Included only where values are read or written.
+/// JSON conversion of identifiers and of the configuration. Include this only in files that read or write JSON.
 namespace crocusmount {
 
+/// Writes an identifier as its underlying value.
 template <typename Tag, typename Rep>
 void tag_invoke(boost::json::value_from_tag, boost::json::value& json, const StrongId<Tag, Rep>& id)
 {
     json = boost::json::value_from(id.value());
 }
 
+/// Reads an identifier from its underlying value.
 template <typename Tag, typename Rep>
 StrongId<Tag, Rep> tag_invoke(boost::json::value_to_tag<StrongId<Tag, Rep>>, const boost::json::value& json)
 {
--- a/src/core/EventJson.cpp
+++ b/src/core/EventJson.cpp
@@ -4,10 +4,11 @@
 
 #include <boost/mp11.hpp>
 
-// The tags bring this namespace into lookup; the types themselves belong to std::chrono.
+// Duration and TimePoint are types of std::chrono. Argument-dependent lookup finds these overloads through the tag
+// arguments, which belong to boost::json.
 namespace boost::json {
 
-void tag_invoke(value_from_tag, value& out, const crocusmount::Duration& span) { out = span.count(); }
+void tag_invoke(value_from_tag, value& out, const crocusmount::Duration& duration) { out = duration.count(); }
 
 crocusmount::Duration tag_invoke(value_to_tag<crocusmount::Duration>, const value& in)
 {
@@ -93,7 +94,7 @@
 
 namespace {
 
-    // The names by position, as in the variants.
+    // Names of the alternatives, in the order of EventBody and Effect.
     constexpr std::array EventNames { "RequestArrived", "CallerLeft", "TokenReceived", "AttemptEnded", "AttemptFailed",
         "ClaimsRead", "ClaimsAppended", "ConfigurationRead", "StoreSeen", "BackendReported", "BackendUnreachable",
         "PeerMessageReceived", "InstancesListed", "DrainRequested", "Tick" };
@@ -104,7 +105,7 @@
     static_assert(EffectNames.size() == std::variant_size_v<Effect>);
 
     template <typename Variant>
-    json::value bodyOf(const Variant& variant)
+    json::value bodyToJson(const Variant& variant)
     {
         return std::visit([](const auto& body) { return json::value_from(body); }, variant);
     }
@@ -117,7 +118,7 @@
     line["now"] = event.now.time_since_epoch().count();
     line["entropy"] = event.entropy;
     line["type"] = EventNames.at(event.body.index());
-    line["body"] = bodyOf(event.body);
+    line["body"] = bodyToJson(event.body);
     return json::serialize(line);
 }
 
@@ -125,7 +126,7 @@
 {
     json::object line;
     line["type"] = EffectNames.at(effect.index());
-    line["body"] = bodyOf(effect);
+    line["body"] = bodyToJson(effect);
     return json::serialize(line);
 }
 
--- a/src/core/EventJson.h
+++ b/src/core/EventJson.h
@@ -6,13 +6,17 @@
 #include <absl/status/statusor.h>
 #include <string>
 
-/// The text form of events and effects, one JSON object a line, for recording and replay.
+/// Conversion of events and effects to JSON, one object per line, for recording and replay.
 namespace crocusmount {
 
+/// @return the event as a JSON object without line breaks: now (microseconds), entropy, type and body
 std::string toJsonLine(const Event&);
+/// @return the effect as a JSON object without line breaks: type and body
 std::string toJsonLine(const Effect&);
 
-/// @return the event, or InvalidArgument that says what is wrong with the line
+/// Parses an event.
+/// @param line  output of toJsonLine(const Event&)
+/// @return the event, or InvalidArgument with a description of the syntax error, missing member or unknown type
 absl::StatusOr<Event> eventFromJsonLine(const std::string& line);
 
 } // namespace crocusmount
--- a/src/core/ReducerState.cpp
+++ b/src/core/ReducerState.cpp
@@ -8,9 +8,12 @@
 
 namespace {
 
-    constexpr Duration PauseLimit = std::chrono::milliseconds(500);
-    constexpr Duration PauseDrain = std::chrono::seconds(1); ///< time to read what waited in the sockets
-    constexpr Duration FetchInterval = std::chrono::milliseconds(100); ///< least time between two fetches
+    /// A longer gap between two events means that this process was paused.
+    constexpr Duration MaxEventGap = std::chrono::milliseconds(500);
+    /// After a pause, peer reports are ignored for this time, in which the data buffered in the sockets is read.
+    constexpr Duration StaleReportWindow = std::chrono::seconds(1);
+    /// Shortest time between two fetches of the configuration from peers.
+    constexpr Duration MinFetchInterval = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -24,30 +27,31 @@
 
 void ReducerState::reduce(const Event& event, Effects& effects)
 {
-    if (!m_lastEvent)
-        m_storeSeen = event.now; // The time without the store counts from the start.
-    noticePause(event.now);
+    if (!m_lastEventAt)
+        m_storeLastSeenAt = event.now; // The time without contact to the store is measured from the first event.
+    detectPause(event.now);
     std::visit([&](const auto& body) { on(body, event, effects); }, event.body);
     m_requests.dispatch(event, effects);
 }
 
-/// Events come at least with every tick. After a longer silence this process was paused, and what waits in its sockets
-/// tells of the time before.
-void ReducerState::noticePause(TimePoint now)
+/// Ticks arrive every few milliseconds, so a long gap between two events means that this process was paused. Messages
+/// that were buffered in its sockets describe the state before the pause, so all reports are discarded and requested
+/// again.
+void ReducerState::detectPause(TimePoint now)
 {
-    if (m_lastEvent && now - *m_lastEvent > PauseLimit) {
+    if (m_lastEventAt && now - *m_lastEventAt > MaxEventGap) {
         m_backends.distrustReports();
-        m_trustPeersFrom = now + PauseDrain;
-        m_nextProbe = TimePoint();
+        m_trustPeerReportsFrom = now + StaleReportWindow;
+        m_nextProbeAt = TimePoint();
     }
-    m_lastEvent = now;
+    m_lastEventAt = now;
 }
 
 // ---- Requests ------------------------------------------------------------------------------------------------------
 
 void ReducerState::on(const event::RequestArrived& body, const Event& event, Effects& effects)
 {
-    m_requests.arrived(body, { isDraining(), isolated(event.now) }, event, effects);
+    m_requests.arrived(body, { isDraining(), isIsolated(event.now) }, event, effects);
 }
 
 void ReducerState::on(const event::CallerLeft& body, const Event& event, Effects& effects)
@@ -73,7 +77,7 @@
 void ReducerState::on(const event::ClaimsRead& body, const Event& event, Effects& effects)
 {
     if (body.available)
-        m_storeSeen = event.now;
+        m_storeLastSeenAt = event.now;
     m_requests.claimsRead(body, event.now, effects);
 }
 
@@ -87,38 +91,38 @@
 void ReducerState::on(const event::ConfigurationRead& body, const Event& event, Effects& effects)
 {
     if (body.fromStore)
-        m_storeSeen = event.now;
+        m_storeLastSeenAt = event.now;
     if (!m_configuration.apply(body.change, m_options.guards.neverRevert)) {
         ++m_counters.configurationsIgnored;
         return;
     }
     ++m_counters.configurationsApplied;
-    m_counters.configurationObjectsRejected = m_configuration.rejected();
+    m_counters.configurationObjectsRejected = m_configuration.rejectedObjectCount();
     m_backends.apply(configuration());
     m_membership.setRevision(configuration().revision, event.now, effects);
-    m_nextProbe = TimePoint();
+    m_nextProbeAt = TimePoint();
 }
 
 void ReducerState::on(const event::StoreSeen& body, const Event& event, Effects&)
 {
     if (body.available)
-        m_storeSeen = event.now;
+        m_storeLastSeenAt = event.now;
 }
 
-void ReducerState::fetchNewer(const MemberUpdate& peer, TimePoint now, Effects& effects)
+void ReducerState::fetchNewerConfiguration(const MemberUpdate& peer, TimePoint now, Effects& effects)
 {
-    if (peer.revision <= configuration().revision || now < m_nextFetch || peer.peerAddress.empty())
+    if (peer.revision <= configuration().revision || now < m_nextFetchAt || peer.peerAddress.empty())
         return;
-    m_nextFetch = now + FetchInterval;
+    m_nextFetchAt = now + MinFetchInterval;
     effects.push_back(effect::FetchConfiguration { peer.peerAddress });
 }
 
-void ReducerState::updateFollowing(Effects& effects)
+void ReducerState::updateStoreFollowing(Effects& effects)
 {
     const bool follow = m_membership.followsStore();
-    if (follow == m_following)
+    if (follow == m_isFollowingStore)
         return;
-    m_following = follow;
+    m_isFollowingStore = follow;
     effects.push_back(effect::FollowStore { follow });
 }
 
@@ -127,69 +131,69 @@
 void ReducerState::on(const event::BackendReported& body, const Event& event, Effects& effects)
 {
     if (m_backends.report(body.report, body.asked, event.now, 0))
-        spreadChange(body.report.backend, event.now, effects);
+        broadcastChange(body.report.backend, event.now, effects);
     m_requests.roomMayHaveChanged();
 }
 
 void ReducerState::on(const event::BackendUnreachable& body, const Event& event, Effects& effects)
 {
     if (m_backends.probeMissed(body.backend))
-        spreadChange(body.backend, event.now, effects);
+        broadcastChange(body.backend, event.now, effects);
 }
 
-/// Changes go to all at once, but only from watchers: a server that every instance asks must not be told by each to
-/// all.
-void ReducerState::spreadChange(const BackendId& id, TimePoint now, Effects& effects)
+/// Sends a changed state to all instances, but only if this instance watches the server: if every instance that probes
+/// the server did so, each change would cause a message from every instance to every other one.
+void ReducerState::broadcastChange(const BackendId& id, TimePoint now, Effects& effects)
 {
     const auto news = m_backends.newsOf(id, now);
-    if (news && m_plan.watched().contains(id))
+    if (news && m_watchPlan.watched().contains(id))
         m_membership.spread({ *news }, effects);
 }
 
-void ReducerState::updatePlan(TimePoint now)
+void ReducerState::updateWatchPlan(TimePoint now)
 {
     const std::uint64_t version = m_membership.version() + m_backends.version();
-    if (version == m_planVersion)
+    if (version == m_watchPlanInputsVersion)
         return;
-    m_planVersion = version;
+    m_watchPlanInputsVersion = version;
     std::vector<WatchPlan::Backend> backends;
     for (const BackendNews& news : m_backends.news(now)) {
         const BackendReport& report = news.report;
         std::string group = absl::StrCat(report.model, "/", report.layers.begin, "-", report.layers.end);
         backends.push_back({ report.backend, std::move(group), news.reachable });
     }
-    m_plan = WatchPlan::make(
+    m_watchPlan = WatchPlan::make(
         m_options.self.instance, m_membership.live(), backends, m_options.watchersPerBackend, m_options.subsetPerGroup);
-    m_backends.setSubset(m_plan);
+    m_backends.setSubset(m_watchPlan);
 }
 
 void ReducerState::probeBackends(TimePoint now, Effects& effects)
 {
-    if (now < m_nextProbe)
+    if (now < m_nextProbeAt)
         return;
-    m_nextProbe = now + m_options.probeInterval;
-    updatePlan(now);
+    m_nextProbeAt = now + m_options.probeInterval;
+    updateWatchPlan(now);
     for (const auto& [id, server] : configuration().backends) {
-        // A watcher that has died is missed by the age of what it told.
-        if (m_plan.watched().contains(id) || m_backends.isStale(id, now))
+        // The reports of a failed watcher become stale, so the other instances then probe its servers themselves.
+        if (m_watchPlan.watched().contains(id) || m_backends.isStale(id, now))
             effects.push_back(effect::ProbeBackend { id, server.address, now });
     }
 }
 
-void ReducerState::shareLoad(TimePoint now, Effects& effects)
+void ReducerState::sendLoadReports(TimePoint now, Effects& effects)
 {
-    if (now < m_nextShare)
+    if (now < m_nextLoadReportAt)
         return;
-    m_nextShare = now + m_options.shareInterval;
-    for (const auto& [address, ids] : m_plan.tells()) {
-        std::vector<BackendNews> told;
+    m_nextLoadReportAt = now + m_options.shareInterval;
+    for (const auto& [address, ids] : m_watchPlan.tells()) {
+        std::vector<BackendNews> freshNews;
         for (const BackendId& id : ids) {
             auto news = m_backends.newsOf(id, now);
             if (news && news->age < m_options.reportLifetime)
-                told.push_back(*std::move(news));
+                freshNews.push_back(*std::move(news));
         }
-        if (!told.empty())
-            m_membership.tell(address, std::move(told), effects);
+        if (!freshNews.empty())
+            m_membership.tell(address, std::move(freshNews), effects);
     }
 }
 
@@ -198,7 +202,7 @@
 void ReducerState::on(const event::PeerMessageReceived& body, const Event& event, Effects& effects)
 {
     m_membership.received(body.message, event.now, effects);
-    const bool trusted = event.now >= m_trustPeersFrom;
+    const bool trusted = event.now >= m_trustPeerReportsFrom;
     for (const BackendNews& news : body.message.backends) {
         if (!trusted)
             break;
@@ -209,26 +213,26 @@
     }
     if (!body.message.backends.empty())
         m_requests.roomMayHaveChanged();
-    fetchNewer(body.message.sender, event.now, effects);
-    updateFollowing(effects);
+    fetchNewerConfiguration(body.message.sender, event.now, effects);
+    updateStoreFollowing(effects);
 }
 
 void ReducerState::on(const event::InstancesListed& body, const Event& event, Effects& effects)
 {
     m_membership.listed(body, event.now);
-    updateFollowing(effects);
+    updateStoreFollowing(effects);
 }
 
-bool ReducerState::isolated(TimePoint now) const
+bool ReducerState::isIsolated(TimePoint now) const
 {
-    const TimePoint lastContact = std::max(m_storeSeen, m_membership.lastHeard());
+    const TimePoint lastContact = std::max(m_storeLastSeenAt, m_membership.lastHeard());
     return now - lastContact > m_options.isolationLimit;
 }
 
 std::vector<MemberUpdate> ReducerState::entriesFor(const WorkspaceId& workspace) const
 {
     std::vector<MemberUpdate> entries = m_membership.members();
-    // An instance that has no configuration yet cannot serve.
+    // An instance without a configuration cannot handle requests.
     std::erase_if(entries,
         [](const MemberUpdate& entry) { return entry.state != MemberState::Alive || entry.revision == Revision(); });
     const auto rank = [&](const MemberUpdate& entry) {
@@ -240,26 +244,27 @@
     return entries;
 }
 
-// ---- Leaving and time ----------------------------------------------------------------------------------------------
+// ---- Drain and ticks -----------------------------------------------------------------------------------------------
 
 void ReducerState::on(const event::DrainRequested&, const Event& event, Effects& effects)
 {
-    if (m_drainedAt)
+    if (m_drainStartedAt)
         return;
-    m_drainedAt = event.now;
+    m_drainStartedAt = event.now;
     m_membership.leave(event.now, effects);
 }
 
 void ReducerState::finishDrain(TimePoint now, Effects& effects)
 {
-    if (!m_drainedAt || m_drainReported)
+    if (!m_drainStartedAt || m_isDrainReported)
         return;
-    // Callers may hold the list of entries for its lifetime, and need an answer that sends them elsewhere.
-    const bool listExpired = now - *m_drainedAt >= m_options.entryLifetime;
+    // Callers may still use a cached list of entries that contains this instance. Until the list expires, this instance
+    // answers them so that they try another one.
+    const bool listExpired = now - *m_drainStartedAt >= m_options.entryLifetime;
     const bool streamsEnded = !m_requests.open() || !m_options.guards.waitForStreams;
     if (!listExpired || !streamsEnded)
         return;
-    m_drainReported = true;
+    m_isDrainReported = true;
     effects.push_back(effect::DrainFinished {});
 }
 
@@ -267,9 +272,9 @@
 {
     m_requests.tick(event.now, effects);
     m_membership.tick(event.now, event.entropy, effects);
-    updateFollowing(effects);
+    updateStoreFollowing(effects);
     probeBackends(event.now, effects);
-    shareLoad(event.now, effects);
+    sendLoadReports(event.now, effects);
     finishDrain(event.now, effects);
 }
 
--- a/src/core/ReducerState.h
+++ b/src/core/ReducerState.h
@@ -14,11 +14,14 @@
 
 namespace crocusmount {
 
-/// The state behind Reducer, and the one function that hands each event to the part that owns it.
+/// The state of a Reducer. Passes each event to the component that handles it.
 class ReducerState {
 public:
-    ReducerState(const ReducerOptions&, std::unique_ptr<ChainPicker>);
+    /// @param options  valid options, see Reducer::make()
+    /// @param picker   chooses the chains of attempts; not null
+    ReducerState(const ReducerOptions& options, std::unique_ptr<ChainPicker> picker);
 
+    /// Processes one event, see Reducer::reduce().
     void reduce(const Event&, Effects&);
 
     const Counters& counters() const { return m_counters; }
@@ -27,7 +30,9 @@
     const Membership& membership() const { return m_membership; }
     const BackendTable& backends() const { return m_backends; }
     const RequestTable& requests() const { return m_requests; }
-    bool isDraining() const { return m_drainedAt.has_value(); }
+    bool isDraining() const { return m_drainStartedAt.has_value(); }
+    /// @return the alive instances that have a configuration, best first: those in this data centre, then the others. A
+    ///         hash of workspace and instance orders each group, which distributes the workspaces over the instances.
     std::vector<MemberUpdate> entriesFor(const WorkspaceId&) const;
 
 private:
@@ -47,33 +52,42 @@
     void on(const event::DrainRequested&, const Event&, Effects&);
     void on(const event::Tick&, const Event&, Effects&);
 
-    void spreadChange(const BackendId&, TimePoint now, Effects&);
-    void noticePause(TimePoint now);
-    void updatePlan(TimePoint now);
+    /// Tells all instances the state of a backend server that this instance watches.
+    void broadcastChange(const BackendId&, TimePoint now, Effects&);
+    /// Discards old reports if this process was paused before the event at this time.
+    void detectPause(TimePoint now);
+    /// Recomputes the watch plan if members, backend servers or the configuration have changed.
+    void updateWatchPlan(TimePoint now);
+    /// Probes watched servers and those with stale reports, once per probe interval.
     void probeBackends(TimePoint now, Effects&);
-    void shareLoad(TimePoint now, Effects&);
-    void fetchNewer(const MemberUpdate& peer, TimePoint now, Effects&);
-    void updateFollowing(Effects&);
+    /// Sends the reports of watched servers to the instances that use these servers, once per share interval.
+    void sendLoadReports(TimePoint now, Effects&);
+    /// Fetches the configuration from a peer that has a newer revision.
+    void fetchNewerConfiguration(const MemberUpdate& peer, TimePoint now, Effects&);
+    /// Starts or stops watching the store when the members that do so have changed.
+    void updateStoreFollowing(Effects&);
+    /// Reports the end of the drain once the entry list has expired and all requests have ended.
     void finishDrain(TimePoint now, Effects&);
-    bool isolated(TimePoint now) const;
+    /// @return whether neither the store nor a peer has been heard for longer than the isolation limit
+    bool isIsolated(TimePoint now) const;
 
     ReducerOptions m_options;
     Counters m_counters;
     ConfigurationStore m_configuration;
     BackendTable m_backends;
     Membership m_membership;
-    WatchPlan m_plan;
-    std::uint64_t m_planVersion = 0; ///< of the members, servers and configuration that the plan was made from
+    WatchPlan m_watchPlan;
+    std::uint64_t m_watchPlanInputsVersion = 0; ///< version of the members and backend servers used for the plan
     RequestTable m_requests;
-    std::optional<TimePoint> m_drainedAt;
-    std::optional<TimePoint> m_lastEvent;
-    TimePoint m_trustPeersFrom;
-    bool m_drainReported = false;
-    bool m_following = false;
-    TimePoint m_storeSeen;
-    TimePoint m_nextProbe;
-    TimePoint m_nextShare;
-    TimePoint m_nextFetch;
+    std::optional<TimePoint> m_drainStartedAt; ///< nullopt if no drain was requested
+    std::optional<TimePoint> m_lastEventAt;
+    TimePoint m_trustPeerReportsFrom; ///< reports from peers are ignored before this time
+    bool m_isDrainReported = false; ///< whether effect::DrainFinished was emitted
+    bool m_isFollowingStore = false;
+    TimePoint m_storeLastSeenAt; ///< last answer of the store, or the first event
+    TimePoint m_nextProbeAt;
+    TimePoint m_nextLoadReportAt;
+    TimePoint m_nextFetchAt;
 };
 
 } // namespace crocusmount
--- a/tests/ChainTest.cpp
+++ b/tests/ChainTest.cpp
@@ -14,12 +14,12 @@
 
 TEST_GROUP(Chain) {};
 
-TEST(Chain, IsMadeOnlyFromRangesThatTileTheModel)
+TEST(Chain, IsCreatedOnlyFromRangesThatCoverTheModelOnce)
 {
     const struct {
         const char* name;
         std::vector<Hop> hops;
-        bool made;
+        bool isValid;
     } cases[] = {
         { "one stage", { hop("a", 0, 4) }, true },
         { "two stages", { hop("a", 0, 2), hop("b", 2, 4) }, true },
@@ -27,15 +27,15 @@
         { "gap", { hop("a", 0, 1), hop("b", 2, 4) }, false },
         { "overlap", { hop("a", 0, 3), hop("b", 2, 4) }, false },
         { "wrong order", { hop("b", 2, 4), hop("a", 0, 2) }, false },
-        { "late start", { hop("a", 1, 4) }, false },
-        { "early end", { hop("a", 0, 3) }, false },
-        { "past the end", { hop("a", 0, 5) }, false },
+        { "starts after the first layer", { hop("a", 1, 4) }, false },
+        { "ends before the last layer", { hop("a", 0, 3) }, false },
+        { "ends after the last layer", { hop("a", 0, 5) }, false },
         { "empty range", { hop("a", 0, 0), hop("b", 0, 4) }, false },
-        { "turned range", { hop("a", 4, 0) }, false },
-        { "same stage twice", { hop("a", 0, 2), hop("a", 0, 2), hop("b", 2, 4) }, false },
+        { "reversed range", { hop("a", 4, 0) }, false },
+        { "repeated stage", { hop("a", 0, 2), hop("a", 0, 2), hop("b", 2, 4) }, false },
     };
     for (const auto& each : cases)
-        CHECK_EQUAL_TEXT(each.made, Chain::make(4, each.hops).ok(), each.name);
+        CHECK_EQUAL_TEXT(each.isValid, Chain::make(4, each.hops).ok(), each.name);
 }
 
 TEST(Chain, TraceNamesEachStageInOrder)
--- a/tests/ConfigurationTest.cpp
+++ b/tests/ConfigurationTest.cpp
@@ -6,12 +6,12 @@
 
 TEST_GROUP(Configuration) {};
 
-TEST(Configuration, BadObjectsAreRefusedWithTheirPath)
+TEST(Configuration, InvalidObjectsAreRejectedWithTheirPath)
 {
     const struct {
         const char* key;
         const char* json;
-        const char* expected; ///< empty: accepted
+        const char* expectedError; ///< part of the error message; empty if the object is valid
     } cases[] = {
         { "workspaces/w", "{}", "" },
         { "workspaces/w", R"({"weight":0})", "/weight" },
@@ -33,13 +33,14 @@
     };
     for (const auto& each : cases) {
         const auto entry = checkedEntry(each.key, each.json);
-        CHECK_EQUAL_TEXT(!*each.expected, entry.ok(), each.json);
-        if (*each.expected)
-            CHECK_TRUE_TEXT(std::string(entry.status().message()).find(each.expected) != std::string::npos, each.json);
+        CHECK_EQUAL_TEXT(!*each.expectedError, entry.ok(), each.json);
+        if (*each.expectedError)
+            CHECK_TRUE_TEXT(
+                std::string(entry.status().message()).find(each.expectedError) != std::string::npos, each.json);
     }
 }
 
-TEST(Configuration, WhatChangedSinceARevisionHoldsDeletions)
+TEST(Configuration, ChangesSinceARevisionIncludeDeletions)
 {
     ConfigurationStore store;
     CHECK_TRUE(store.apply(
@@ -50,10 +51,11 @@
     const ConfigurationChange change = store.since(Revision(3));
     CHECK_EQUAL(1U, change.entries.size());
     CHECK_TEXT("", change.entries[0].value);
-    const ConfigurationChange whole = store.since(Revision(1)); // From before all that is known: everything.
-    CHECK_TRUE(whole.base == Revision());
-    CHECK_EQUAL(1U, whole.entries.size());
+    // Changes after revision 1 are not known, so the store returns the complete configuration.
+    const ConfigurationChange complete = store.since(Revision(1));
+    CHECK_TRUE(complete.base == Revision());
+    CHECK_EQUAL(1U, complete.entries.size());
     ConfigurationStore peer;
-    CHECK_TRUE(peer.apply(whole, true));
-    CHECK_FALSE(peer.apply(whole, true));
+    CHECK_TRUE(peer.apply(complete, true));
+    CHECK_FALSE(peer.apply(complete, true));
 }
--- a/tests/ReducerTest.cpp
+++ b/tests/ReducerTest.cpp
@@ -14,7 +14,8 @@
         harness.reportAll();
     }
 
-    effect::StartAttempt started()
+    /// @return the attempt that the last event started; fails the test if there is none
+    effect::StartAttempt startedAttempt()
     {
         const auto start = harness.last<effect::StartAttempt>();
         CHECK_TRUE(start.has_value());
@@ -22,10 +23,10 @@
     }
 };
 
-TEST(Reducer, DeliversAWholeAnswerInOrder)
+TEST(Reducer, DeliversTokensInOrderAndCompletesAnswer)
 {
     harness.request(ReducerHarness::spec(2));
-    const auto start = started();
+    const auto start = startedAttempt();
     CHECK_EQUAL(2U, start.chain.hops().size());
     harness.token(start, 0);
     CHECK_TRUE(harness.last<effect::DeliverToken>().has_value());
@@ -35,21 +36,21 @@
     CHECK_EQUAL(0U, harness.reducer().openRequests());
 }
 
-TEST(Reducer, RefusalsSayWhyAndThatNothingRan)
+TEST(Reducer, RefusalHasReasonAndStateNotRun)
 {
     auto unknown = ReducerHarness::spec();
     unknown.pipeline = PipelineId("nowhere");
     auto forbidden = ReducerHarness::spec();
     forbidden.pipeline = PipelineId("gold");
-    auto keyless = ReducerHarness::spec();
-    keyless.repeatable = false;
+    auto withoutKey = ReducerHarness::spec();
+    withoutKey.repeatable = false;
     const struct {
         RequestSpec spec;
         Reason reason;
     } cases[] = {
         { unknown, Reason::UnknownPipeline },
         { forbidden, Reason::NotPermitted },
-        { keyless, Reason::KeyRequired },
+        { withoutKey, Reason::KeyRequired },
     };
     for (const auto& each : cases) {
         harness.request(each.spec);
@@ -62,11 +63,11 @@
     }
 }
 
-TEST(Reducer, BadFramesAreDroppedOrEndTheAttempt)
+TEST(Reducer, InvalidFramesAreDroppedOrEndTheAttempt)
 {
     const struct {
         const char* name;
-        std::function<void(event::TokenReceived&)> spoil;
+        std::function<void(event::TokenReceived&)> corrupt;
         std::optional<Reason> dropped;
         std::optional<Reason> retried;
     } cases[] = {
@@ -74,8 +75,8 @@
         { "crossed", [](auto& token) { token.named = AttemptId(999); }, Reason::CrossedFrame, {} },
         { "doubled", [](auto& token) { token.index = 0; }, Reason::DoubledFrame, {} },
         { "gap", [](auto& token) { token.index = 2; }, {}, Reason::IndexGap },
-        { "stage left out", [](auto& token) { token.trace = "a1:0-2@1"; }, {}, Reason::TraceMismatch },
-        { "stage twice", [](auto& token) { token.trace += "," + token.trace; }, {}, Reason::TraceMismatch },
+        { "missing stage", [](auto& token) { token.trace = "a1:0-2@1"; }, {}, Reason::TraceMismatch },
+        { "repeated stage", [](auto& token) { token.trace += "," + token.trace; }, {}, Reason::TraceMismatch },
         { "old generation", [](auto& token) { token.trace.back() = '0'; }, {}, Reason::TraceMismatch },
     };
     for (const auto& each : cases) {
@@ -86,7 +87,7 @@
         const auto start = *fresh.last<effect::StartAttempt>();
         fresh.token(start, 0);
         event::TokenReceived token { start.attempt, start.attempt, 1, "t1", start.chain.trace() };
-        each.spoil(token);
+        each.corrupt(token);
         fresh.send(token);
         CHECK_EQUAL_TEXT(0U, fresh.count<effect::DeliverToken>(), each.name);
         if (each.dropped)
@@ -98,38 +99,38 @@
     }
 }
 
-TEST(Reducer, AStreamThatEndsShortIsResumedElsewhere)
+TEST(Reducer, TruncatedStreamIsResumed)
 {
     harness.request(ReducerHarness::spec(3));
-    const auto start = started();
+    const auto start = startedAttempt();
     harness.token(start, 0);
     harness.send(event::AttemptEnded { start.attempt, 3 });
-    const auto again = started();
-    CHECK_EQUAL(1U, again.emitted.size());
+    const auto resumedAttempt = startedAttempt();
+    CHECK_EQUAL(1U, resumedAttempt.emitted.size());
     CHECK_EQUAL(1U, harness.retried(Reason::Truncated));
-    harness.token(again, 1);
-    harness.token(again, 2);
-    harness.send(event::AttemptEnded { again.attempt, 3 });
+    harness.token(resumedAttempt, 1);
+    harness.token(resumedAttempt, 2);
+    harness.send(event::AttemptEnded { resumedAttempt.attempt, 3 });
     CHECK_EQUAL(3U, harness.last<effect::CompleteAnswer>()->count);
 }
 
-TEST(Reducer, ADeadStageIsAvoidedAfterwards)
+TEST(Reducer, RetryAvoidsFailedStage)
 {
     harness.request(ReducerHarness::spec(3));
-    const auto start = started();
+    const auto start = startedAttempt();
     harness.token(start, 0);
-    const BackendId dead = start.chain.hops()[1].backend;
-    harness.send(event::AttemptFailed { start.attempt, Reason::StageFailed, RunState::MayHaveRun, dead });
-    const auto again = started();
-    CHECK_FALSE(again.chain.contains(dead));
-    harness.token(start, 1); // The dead attempt's late frame.
+    const BackendId failed = start.chain.hops()[1].backend;
+    harness.send(event::AttemptFailed { start.attempt, Reason::StageFailed, RunState::MayHaveRun, failed });
+    const auto resumedAttempt = startedAttempt();
+    CHECK_FALSE(resumedAttempt.chain.contains(failed));
+    harness.token(start, 1); // A late frame of the failed attempt.
     CHECK_EQUAL(1U, harness.dropped(Reason::LateFrame));
 }
 
-TEST(Reducer, AStalledStreamMovesAndAShortPauseDoesNot)
+TEST(Reducer, StalledStreamIsCancelledButShortPauseIsTolerated)
 {
     harness.request(ReducerHarness::spec(5));
-    const auto start = started();
+    const auto start = startedAttempt();
     harness.token(start, 0);
     harness.token(start, 1);
     harness.tick(std::chrono::milliseconds(200));
@@ -139,17 +140,17 @@
     CHECK_EQUAL(1U, harness.retried(Reason::Stalled));
 }
 
-TEST(Reducer, WhatMayHaveRunIsNeverCalledNotRun)
+TEST(Reducer, RequestThatMayHaveRunIsNotAnsweredNotRun)
 {
     const struct {
         const char* name;
         RunState reported;
-        bool token;
+        bool isTokenSent;
         RunState answered;
     } cases[] = {
         { "refused", RunState::NotRun, false, RunState::NotRun },
         { "lost", RunState::MayHaveRun, false, RunState::MayHaveRun },
-        { "said not run after a token", RunState::NotRun, true, RunState::MayHaveRun },
+        { "not run reported after a token", RunState::NotRun, true, RunState::MayHaveRun },
     };
     for (const auto& each : cases) {
         auto options = ReducerHarness::defaultOptions();
@@ -159,19 +160,19 @@
         fresh.reportAll();
         fresh.request(ReducerHarness::spec());
         const auto start = *fresh.last<effect::StartAttempt>();
-        if (each.token)
+        if (each.isTokenSent)
             fresh.token(start, 0);
         fresh.send(event::AttemptFailed { start.attempt, Reason::BackendError, each.reported, BackendId("a1") });
         CHECK_TRUE_TEXT(fresh.last<effect::FailAnswer>()->run == each.answered, each.name);
     }
 }
 
-TEST(Reducer, TheSameKeyJoinsAndIsAnsweredAgainFromMemory)
+TEST(Reducer, RequestWithKnownKeyJoinsOrReplaysAnswer)
 {
     auto spec = ReducerHarness::spec(2);
     spec.idempotencyKey = "k";
     const RequestId first = harness.request(spec);
-    const auto start = started();
+    const auto start = startedAttempt();
     harness.token(start, 0);
     const RequestId second = harness.request(spec);
     CHECK_EQUAL(0U, harness.count<effect::StartAttempt>());
@@ -189,7 +190,7 @@
     CHECK_TRUE(first != second);
 }
 
-TEST(Reducer, ACallerThatLeftIsCancelledUnlessItRunsOnce)
+TEST(Reducer, RequestOfDisconnectedCallerIsCancelled)
 {
     const RequestId id = harness.request(ReducerHarness::spec());
     harness.send(event::CallerLeft { id });
@@ -197,7 +198,7 @@
     CHECK_EQUAL(0U, harness.reducer().openRequests());
 }
 
-TEST(Reducer, ConfigurationNeverGoesBack)
+TEST(Reducer, OldOrNonContiguousConfigurationIsIgnored)
 {
     ConfigurationChange newer { Revision(1), Revision(5), { { "workspaces/late", "{}", Revision(5) } } };
     harness.send(event::ConfigurationRead { newer, true });
@@ -206,23 +207,23 @@
     harness.send(event::ConfigurationRead { old, true });
     CHECK_EQUAL(5, harness.reducer().configuration().revision.value());
     CHECK_EQUAL(1U, harness.reducer().configuration().workspaces.count(WorkspaceId("late")));
-    ConfigurationChange beyond { Revision(7), Revision(8), {} };
-    harness.send(event::ConfigurationRead { beyond, false });
+    ConfigurationChange nonContiguous { Revision(7), Revision(8), {} };
+    harness.send(event::ConfigurationRead { nonContiguous, false });
     CHECK_EQUAL(5, harness.reducer().configuration().revision.value());
 }
 
-TEST(Reducer, ALeavingServerGetsNoNewWork)
+TEST(Reducer, LeavingServerGetsNoNewAttempts)
 {
     ConfigurationChange change { Revision(1), Revision(2),
         { { "backends/a1", R"({"address":"10.0.1.1:1","dataCentre":"dc1","leaving":true})", Revision(2) } } };
     harness.send(event::ConfigurationRead { change, true });
     for (int i = 0; i < 6; ++i) {
         harness.request(ReducerHarness::spec());
-        CHECK_FALSE(started().chain.contains(BackendId("a1")));
+        CHECK_FALSE(startedAttempt().chain.contains(BackendId("a1")));
     }
 }
 
-TEST(Reducer, OlderNewsDoesNotReplaceANewerReport)
+TEST(Reducer, OlderPeerReportDoesNotReplaceNewerReport)
 {
     BackendReport leaving { BackendId("a1"), "m", { 0, 2 }, Generation(1), 4, 1000, 0, true };
     harness.send(event::BackendReported { leaving, harness.now() });
@@ -238,11 +239,11 @@
     harness.send(event::PeerMessageReceived { message });
     for (int i = 0; i < 6; ++i) {
         harness.request(ReducerHarness::spec());
-        CHECK_FALSE(started().chain.contains(BackendId("a1")));
+        CHECK_FALSE(startedAttempt().chain.contains(BackendId("a1")));
     }
 }
 
-TEST(Reducer, ADrainRefusesNewWorkAndWaitsForStreams)
+TEST(Reducer, DrainRefusesNewRequestsAndWaitsForStreams)
 {
     auto options = ReducerHarness::defaultOptions();
     options.entryLifetime = std::chrono::milliseconds(100);
@@ -262,16 +263,16 @@
     CHECK_EQUAL(1U, fresh.count<effect::DrainFinished>());
 }
 
-TEST(Reducer, TheSameEventsGiveTheSameEffects)
+TEST(Reducer, IdenticalEventsGiveIdenticalEffects)
 {
-    const auto run = [](bool throughText) {
+    const auto run = [](bool throughJson) {
         ReducerHarness fresh;
         std::string log;
         TimePoint time = fresh.now();
         const auto feed = [&](EventBody body) {
             time += std::chrono::milliseconds(10);
             Event event { time, 7, std::move(body) };
-            if (throughText)
+            if (throughJson)
                 event = *eventFromJsonLine(toJsonLine(event));
             Effects effects;
             fresh.reducer().reduce(event, effects);
