--- a/include/crocusmount/ChainPicker.h
+++ b/include/crocusmount/ChainPicker.h
@@ -20,8 +20,7 @@
     double jitter = 0.02; ///< upper bound of the random amount that is added to a stage's fill (a fraction)
 };
 
-/// Chooses the stages for one attempt. All pickers see the stages of a query; they differ in which of these they
-/// choose.
+/// Chooses the stages for one attempt. Implementations differ only in which of the available stages they choose.
 class ChainPicker {
 public:
     virtual ~ChainPicker() = default;
--- a/include/crocusmount/Configuration.h
+++ b/include/crocusmount/Configuration.h
@@ -26,7 +26,7 @@
     std::vector<std::string> tokenSha256; ///< SHA-256 of each bearer token, in lower-case hex digits
 };
 
-/// A model that callers can use, with its layers distributed over backend servers.
+/// A model whose layers are distributed over backend servers, or a plain service, for use by callers.
 struct Pipeline {
     PipelineId id;
     PipelineKind kind = PipelineKind::Generation;
--- a/include/crocusmount/Counters.h
+++ b/include/crocusmount/Counters.h
@@ -21,7 +21,7 @@
     std::uint64_t claimReads = 0; ///< reads of the claim log
     std::uint64_t claimsWon = 0; ///< idempotency keys claimed by requests of this instance
     std::uint64_t configurationsApplied = 0;
-    std::uint64_t configurationsIgnored = 0; ///< changes that were not newer than the configuration in force
+    std::uint64_t configurationsIgnored = 0; ///< changes that were outdated or lacked an earlier change
     std::uint64_t configurationObjectsRejected = 0; ///< configured objects that were invalid
     std::array<std::uint64_t, ReasonCount> refused {}; ///< requests refused or failed, by reason
     std::array<std::uint64_t, ReasonCount> retried {}; ///< attempts that failed, by reason
--- a/include/crocusmount/Effect.h
+++ b/include/crocusmount/Effect.h
@@ -35,7 +35,7 @@
     AttemptId attempt;
 };
 
-/// Sends a token to the caller.
+/// Sends a token to the caller of a request.
 struct DeliverToken {
     RequestId request;
     std::uint32_t index = 0; ///< position of the token in the answer, from 0
@@ -53,7 +53,7 @@
     RequestId request;
     Reason reason = Reason::BackendError;
     RunState run = RunState::MayHaveRun;
-    Duration retryAfter {}; ///< when the caller should try again; 0 if a new try would not help
+    Duration retryAfter {}; ///< time after which the caller may try again; 0 if a new try would not help
 };
 
 /// Reads the batches of a shard of the claim log.
@@ -67,8 +67,7 @@
     ShardId shard;
     std::int64_t expectedHeadRevision = 0; ///< 0 if the shard's log is expected to be empty
     std::uint64_t sequence = 0; ///< sequence number of the new batch
-    std::uint64_t trimBelow
-        = 0; ///< batches with a lower sequence number are past their retention and may be deleted; 0 for none
+    std::uint64_t trimBelow = 0; ///< batches with lower sequence numbers have expired and may be deleted; 0 for none
     TimePoint writtenAt;
     std::vector<Claim> claims;
 };
--- a/include/crocusmount/Ids.h
+++ b/include/crocusmount/Ids.h
@@ -19,11 +19,11 @@
 using StartTime = StrongId<struct StartTimeTag, std::int64_t>;
 /// A workspace of a customer.
 using WorkspaceId = StrongId<struct WorkspaceTag, std::string>;
-/// A pipeline, that is a model that callers can use.
+/// A pipeline: a model or a plain service for use by callers.
 using PipelineId = StrongId<struct PipelineTag, std::string>;
 /// A data centre in which instances and backend servers run.
 using DataCentreId = StrongId<struct DataCentreTag, std::string>;
-/// A revision of the platform's store. It increases with every accepted write; 0 if not known.
+/// A revision of the platform's store. It increases with every accepted write; 0 stands for no revision.
 using Revision = StrongId<struct RevisionTag, std::int64_t>;
 /// The number of times the layers held by an engine have changed.
 using Generation = StrongId<struct GenerationTag, std::uint64_t>;
--- a/include/crocusmount/PeerMessage.h
+++ b/include/crocusmount/PeerMessage.h
@@ -10,7 +10,7 @@
 
 namespace crocusmount {
 
-/// The state of an instance as another instance sees it. Ordered: see MemberUpdate.
+/// The state of an instance as another instance sees it. The order of the values matters, see MemberUpdate.
 enum class MemberState {
     Alive,
     Suspect, ///< did not answer a ping; Dead unless it refutes this before a timeout
@@ -38,8 +38,7 @@
     BackendReport report;
     bool reachable = true; ///< whether the server answers probes
     Duration age {}; ///< age of the report when this was sent
-    std::uint64_t sequence
-        = 0; ///< increases with each change of the state; if several instances probe the server, the highest wins
+    std::uint64_t sequence = 0; ///< increases with each change of the state; a lower one than the known one is ignored
 };
 
 /// The type of a message between instances.
@@ -56,8 +55,8 @@
     MemberUpdate sender; ///< may lack the addresses if the receiver knows the sender
     std::uint64_t sequence = 0; ///< matches an Ack to its Ping or PingRequest
     InstanceId target; ///< instance to ping; only in a PingRequest
-    std::vector<MemberUpdate> updates;
-    std::vector<BackendNews> backends;
+    std::vector<MemberUpdate> updates; ///< recent changes of the membership
+    std::vector<BackendNews> backends; ///< states of backend servers
 };
 
 } // namespace crocusmount
--- a/include/crocusmount/Reason.h
+++ b/include/crocusmount/Reason.h
@@ -25,7 +25,7 @@
     NotRepeatable, ///< an attempt failed, and the request must not run twice
     CallerGone, ///< the caller closed its connection
     NotConfigured, ///< no configuration has been read yet, or the one in use may be outdated
-    UnknownRoute,
+    UnknownRoute, ///< no route is configured for the host and path of the call
     UnknownKey, ///< the API key is not known
     CrashesServers, ///< backend servers crashed whenever the request ran; it is not sent to any more
     NoCapacity, ///< all suitable backend servers are full
--- a/include/crocusmount/Reducer.h
+++ b/include/crocusmount/Reducer.h
@@ -30,6 +30,7 @@
     /// @param effects  output: the resulting effects are appended in the order in which they are to be performed
     void reduce(const Event& event, Effects& effects);
 
+    /// @return the counters since the creation of this reducer
     const Counters& counters() const;
     /// @return the configuration in force
     const Configuration& configuration() const;
--- a/include/crocusmount/ReducerOptions.h
+++ b/include/crocusmount/ReducerOptions.h
@@ -43,7 +43,7 @@
     double retryBurst = 200; ///< capacity of the retry budget, in retries
     Duration minStall = std::chrono::milliseconds(400); ///< shortest gap between tokens that counts as a stall
     Duration firstTokenStall = std::chrono::milliseconds(2500); ///< shortest wait for the first token that is a stall
-    double stallFactor = 8; ///< a gap of this many times the pipeline's average gap is a stall
+    double stallFactor = 8; ///< a stall must also exceed this many times the pipeline's average gap
     Duration probeInterval = std::chrono::milliseconds(250); ///< between two probes of a backend server
     std::uint32_t unreachableAfter = 3; ///< consecutive missed probes after which a backend server is unreachable
     Duration reportLifetime = std::chrono::seconds(2); ///< servers with older reports get no work: they may be leaving
--- a/src/core/ReducerState.cpp
+++ b/src/core/ReducerState.cpp
@@ -259,7 +259,7 @@
     if (!m_drainStartedAt || m_isDrainReported)
         return;
     // Callers may still use a cached list of entries that contains this instance. Until the list expires, this instance
-    // answers them so that they try another one.
+    // refuses their requests, so that they try another one.
     const bool listExpired = now - *m_drainStartedAt >= m_options.entryLifetime;
     const bool streamsEnded = !m_requests.open() || !m_options.guards.waitForStreams;
     if (!listExpired || !streamsEnded)
--- a/src/core/ReducerState.h
+++ b/src/core/ReducerState.h
@@ -17,9 +17,8 @@
 /// The state of a Reducer. Passes each event to the component that handles it.
 class ReducerState {
 public:
-    /// @param options  valid options, see Reducer::make()
-    /// @param picker   chooses the chains of attempts; not null
-    ReducerState(const ReducerOptions& options, std::unique_ptr<ChainPicker> picker);
+    /// Creates the state. The options must be valid, see Reducer::make(), and the picker must not be null.
+    ReducerState(const ReducerOptions&, std::unique_ptr<ChainPicker>);
 
     /// Processes one event, see Reducer::reduce().
     void reduce(const Event&, Effects&);
@@ -36,6 +35,7 @@
     std::vector<MemberUpdate> entriesFor(const WorkspaceId&) const;
 
 private:
+    /// Each overload handles one type of event.
     void on(const event::RequestArrived&, const Event&, Effects&);
     void on(const event::CallerLeft&, const Event&, Effects&);
     void on(const event::TokenReceived&, const Event&, Effects&);
