--- a/include/crocusmount/Chain.h
+++ b/include/crocusmount/Chain.h
@@ -19,8 +19,8 @@
     /// Creates a chain from its stages.
     /// @param layerCount  number of layers of the model
     /// @param hops        stages in the order in which they run
-    /// @return the chain; InvalidArgument if a range is empty, a layer is missing or covered twice, or the stages are
-    ///         out of order
+    /// @return the chain; InvalidArgument if a range is empty, a layer is missing or covered twice, a range goes beyond
+    ///         the last layer, or the stages are out of order
     static absl::StatusOr<Chain> make(std::uint32_t layerCount, std::vector<Hop> hops);
 
     /// @return the stages in the order in which they run
--- a/include/crocusmount/Effect.h
+++ b/include/crocusmount/Effect.h
@@ -22,7 +22,7 @@
     AttemptId attempt;
     RequestId request;
     Chain chain;
-    std::string prompt;
+    std::string prompt; ///< prompt for a model, or the serialized call of a plain service
     std::uint32_t maxTokens = 0; ///< upper bound of the tokens of the whole answer, emitted ones included
     std::vector<std::string> emitted; ///< tokens already delivered to the caller; the attempt continues after them
     int priority = 0; ///< priority from the caller's request
--- a/include/crocusmount/Event.h
+++ b/include/crocusmount/Event.h
@@ -59,7 +59,7 @@
     bool available = false; ///< false if the store did not answer; the members below are then empty
     std::int64_t headRevision = 0; ///< store revision of the log's head; 0 if the shard's log is empty
     std::uint64_t headSequence = 0; ///< sequence number of the last batch
-    std::vector<ClaimBatch> batches; ///< batches after ReadClaims::afterSequence, in order
+    std::vector<ClaimBatch> batches; ///< existing batches after ReadClaims::afterSequence, in order
 };
 
 /// The result of effect::AppendClaims.
--- a/include/crocusmount/Reason.h
+++ b/include/crocusmount/Reason.h
@@ -13,7 +13,7 @@
     KeyRequired, ///< a request that must not run twice has no idempotency key
     KeyClaimed, ///< another request claimed the idempotency key
     KeyReused, ///< the idempotency key was used for a request with other parameters
-    StoreUnavailable,
+    StoreUnavailable, ///< the idempotency key could not be claimed in time
     DeadlineTooShort, ///< the expected wait and run time exceed the timeout
     DeadlinePassed,
     QueueFull,
@@ -34,7 +34,7 @@
     // Attempts that failed; the request is retried or fails.
     ConnectFailed,
     ConnectionLost,
-    RefusedByBackend,
+    RefusedByBackend, ///< a backend server did not accept the attempt
     BackendError,
     StageFailed,
     Stalled, ///< no token for too long
