--- a/src/shell/ClaimStore.cpp
+++ b/src/shell/ClaimStore.cpp
@@ -23,8 +23,9 @@
 
 namespace {
 
-    /// A batch as text: the time of writing, then a line for each claim: hash, nonce, and "-" if it is given back.
-    std::string textOf(const effect::AppendClaims& append)
+    /// Serializes a batch. The first line is the time of writing in microseconds since the epoch of TimePoint. Each
+    /// further line is a claim: the hash of the key, the nonce, and "-" if the claim is released.
+    std::string serializeBatch(const effect::AppendClaims& append)
     {
         std::string text = absl::StrCat(append.writtenAt.time_since_epoch().count(), "\n");
         for (const Claim& claim : append.claims)
@@ -32,7 +33,8 @@
         return text;
     }
 
-    ClaimBatch batchOf(std::uint64_t sequence, const std::string& text)
+    /// Parses a batch as serializeBatch() writes it. Lines that are not a claim are skipped.
+    ClaimBatch parseBatch(std::uint64_t sequence, const std::string& text)
     {
         ClaimBatch batch;
         batch.sequence = sequence;
@@ -88,7 +90,7 @@
             }
             std::uint64_t sequence = 0;
             (void)absl::SimpleAtoi(entry.key.substr(entry.key.rfind('/') + 1), &sequence);
-            event.batches.push_back(batchOf(sequence, entry.value));
+            event.batches.push_back(parseBatch(sequence, entry.value));
         }
     }
     m_post(std::move(event));
@@ -101,7 +103,7 @@
     write.guardKey = storekeys::claimHead(append.shard);
     write.expectedModRevision = append.expectedHeadRevision;
     write.puts.emplace_back(write.guardKey, absl::StrCat(append.sequence));
-    write.puts.emplace_back(storekeys::claimBatch(append.shard, append.sequence), textOf(append));
+    write.puts.emplace_back(storekeys::claimBatch(append.shard, append.sequence), serializeBatch(append));
     if (append.trimBelow)
         write.deleteRanges.emplace_back(
             storekeys::claimBatch(append.shard, 0), storekeys::claimBatch(append.shard, append.trimBelow));
--- a/src/shell/ClaimStore.h
+++ b/src/shell/ClaimStore.h
@@ -10,14 +10,18 @@
 
 class StoreClient;
 
-/// Keeps the log of claims in the platform's store.
+/// Reads and writes the log of claims in the platform's store.
 class ClaimStore {
 public:
+    /// Receives the results of reads and appends.
     using Post = std::function<void(EventBody)>;
 
     ClaimStore(net::io_context&, StoreClient&, Post);
+    /// Reads the batches of a shard after a sequence number and posts ClaimsRead.
     void read(const effect::ReadClaims&);
+    /// Appends a batch to a shard if the head has the expected revision, and posts ClaimsAppended.
     void append(const effect::AppendClaims&);
+    /// @return number of calls to the store
     std::uint64_t calls() const { return m_calls; }
 
 private:
--- a/src/shell/ConfigurationFollower.cpp
+++ b/src/shell/ConfigurationFollower.cpp
@@ -9,16 +9,17 @@
 
 namespace {
 
-    constexpr std::chrono::milliseconds FirstPause { 100 };
-    constexpr std::chrono::milliseconds LongestPause { 2000 };
-    constexpr std::chrono::milliseconds CheckInterval { 5000 };
+    constexpr std::chrono::milliseconds MinBackoff { 100 };
+    constexpr std::chrono::milliseconds MaxBackoff { 2000 };
+    /// Time between two checks of the head key.
+    constexpr std::chrono::milliseconds HeadCheckInterval { 5000 };
 
     bool isObject(const std::string& key)
     {
         return key.compare(0, storekeys::configurationObjects.size(), storekeys::configurationObjects) == 0;
     }
 
-    ConfigurationEntry entryOf(const StoreEntry& entry, bool deleted)
+    ConfigurationEntry parseEntry(const StoreEntry& entry, bool deleted)
     {
         return { entry.key.substr(storekeys::configurationObjects.size()), deleted ? std::string() : entry.value,
             Revision(entry.modRevision) };
@@ -38,15 +39,15 @@
     if (following == m_following)
         return;
     m_following = following;
-    ++m_turn;
+    ++m_session;
     if (following)
-        startTurn();
+        startSession();
 }
 
-void ConfigurationFollower::startTurn()
+void ConfigurationFollower::startSession()
 {
-    net::co_spawn(m_context.get_executor(), followLoop(m_turn), net::detached);
-    net::co_spawn(m_context.get_executor(), checkLoop(m_turn), net::detached);
+    net::co_spawn(m_context.get_executor(), followLoop(m_session), net::detached);
+    net::co_spawn(m_context.get_executor(), checkLoop(m_session), net::detached);
 }
 
 Awaitable<void> ConfigurationFollower::sleep(std::chrono::milliseconds span)
@@ -70,26 +71,26 @@
         if (entry.key == storekeys::configurationHead)
             change.revision = Revision(entry.modRevision);
         else if (isObject(entry.key))
-            change.entries.push_back(entryOf(entry, false));
+            change.entries.push_back(parseEntry(entry, false));
     }
     m_revision = change.revision;
     m_post(event::ConfigurationRead { std::move(change), true });
     co_return true;
 }
 
-bool ConfigurationFollower::take(const StoreWatchBatch& batch, std::uint64_t turn)
+bool ConfigurationFollower::applyBatch(const StoreWatchBatch& batch, std::uint64_t session)
 {
-    if (turn != m_turn)
+    if (session != m_session)
         return false;
     m_post(event::StoreSeen { true });
-    // One write may come in one batch only; several writes may share a batch. Split at the head, which ends each.
+    // A write never spans batches, but a batch may hold several writes. All events of one write have one revision.
     std::map<Revision, ConfigurationChange> changes;
     for (const StoreEvent& event : batch.events) {
         const Revision revision(event.entry.modRevision);
         ConfigurationChange& change = changes[revision];
         change.revision = revision;
         if (isObject(event.entry.key))
-            change.entries.push_back(entryOf(event.entry, event.deleted));
+            change.entries.push_back(parseEntry(event.entry, event.deleted));
     }
     for (auto& [revision, change] : changes) {
         if (revision <= m_revision)
@@ -101,47 +102,49 @@
     return true;
 }
 
-Awaitable<void> ConfigurationFollower::followLoop(std::uint64_t turn)
+Awaitable<void> ConfigurationFollower::followLoop(std::uint64_t session)
 {
-    auto pause = FirstPause;
-    while (turn == m_turn) {
+    auto backoff = MinBackoff;
+    while (session == m_session) {
         if (!co_await readAll()) {
-            co_await sleep(pause);
-            pause = std::min(LongestPause, pause * 2);
+            co_await sleep(backoff);
+            backoff = std::min(MaxBackoff, backoff * 2);
             continue;
         }
-        pause = FirstPause;
+        backoff = MinBackoff;
+        // An unavailable watch resumes after the last revision. Any other error requires a new read of everything.
         absl::Status status;
         do {
             ++m_calls;
             std::string begin = storekeys::configurationPrefix;
             std::string end = prefixEnd(begin);
             const std::int64_t from = m_revision.value() + 1;
-            StoreClient::OnWatch onWatch = [this, turn](const StoreWatchBatch& batch) { return take(batch, turn); };
+            StoreClient::OnWatch onWatch
+                = [this, session](const StoreWatchBatch& batch) { return applyBatch(batch, session); };
             status = co_await m_store.watch(std::move(begin), std::move(end), from, std::move(onWatch));
             m_post(event::StoreSeen { false });
-            co_await sleep(FirstPause);
-        } while (turn == m_turn && absl::IsUnavailable(status) && m_revision != Revision());
+            co_await sleep(MinBackoff);
+        } while (session == m_session && absl::IsUnavailable(status) && m_revision != Revision());
     }
 }
 
-/// A watch can fall silent without an error; the head tells.
-Awaitable<void> ConfigurationFollower::checkLoop(std::uint64_t turn)
+// A watch can stop delivering changes without an error. The revision of the head key shows missed changes.
+Awaitable<void> ConfigurationFollower::checkLoop(std::uint64_t session)
 {
     for (;;) {
-        co_await sleep(CheckInterval);
-        if (turn != m_turn)
+        co_await sleep(HeadCheckInterval);
+        if (session != m_session)
             co_return;
         ++m_calls;
         std::string begin = storekeys::configurationHead;
-        std::string end = begin + '\0';
+        std::string end = begin + '\0'; // The range holds just the head key.
         const auto range = co_await m_store.range(std::move(begin), std::move(end));
         m_post(event::StoreSeen { range.ok() });
         const bool behind
             = range.ok() && !range->entries.empty() && Revision(range->entries.front().modRevision) > m_revision;
-        if (behind && turn == m_turn) {
-            ++m_turn;
-            startTurn();
+        if (behind && session == m_session) {
+            ++m_session;
+            startSession();
         }
     }
 }
--- a/src/shell/ConfigurationWriter.cpp
+++ b/src/shell/ConfigurationWriter.cpp
@@ -11,19 +11,21 @@
 
 namespace {
 
-    constexpr std::size_t NoncesKept = 256;
-    constexpr int SettleTries = 4;
-    constexpr std::chrono::milliseconds SettlePause { 150 };
+    /// Nonces of the latest writes that the head key holds.
+    constexpr std::size_t MaxStoredNonces = 256;
+    /// Attempts of one write, the first one included.
+    constexpr int MaxApplyAttempts = 4;
+    constexpr std::chrono::milliseconds ApplyRetryInterval { 150 };
 
     bool contains(const std::vector<std::string>& nonces, const std::string& nonce)
     {
         return std::find(nonces.begin(), nonces.end(), nonce) != nonces.end();
     }
 
-    Awaitable<void> pause()
+    Awaitable<void> waitForRetry()
     {
         Timer timer(co_await net::this_coro::executor);
-        timer.expires_after(SettlePause);
+        timer.expires_after(ApplyRetryInterval);
         co_await timer.async_wait(net::as_tuple(useAwaitable));
     }
 
@@ -37,7 +39,7 @@
 Awaitable<absl::StatusOr<ConfigurationWriter::Head>> ConfigurationWriter::readHead()
 {
     std::string begin = storekeys::configurationHead;
-    std::string end = begin + '\0';
+    std::string end = begin + '\0'; // The range holds just the head key.
     const auto range = co_await m_store.range(std::move(begin), std::move(end));
     if (!range.ok())
         co_return range.status();
@@ -49,7 +51,7 @@
     co_return head;
 }
 
-Awaitable<ApplyOutcome> ConfigurationWriter::conflict(Revision base, Revision current)
+Awaitable<ApplyOutcome> ConfigurationWriter::describeConflict(Revision base, Revision current)
 {
     ApplyOutcome outcome { ApplyResult::Conflict, current, {} };
     std::string begin = storekeys::configurationObjects;
@@ -68,12 +70,12 @@
     Revision base, std::vector<ConfigurationEntry> entries, std::string nonce)
 {
     ApplyOutcome outcome;
-    bool inDoubt = false;
-    for (int tries = 0; tries < SettleTries; ++tries) {
+    bool mayBeWritten = false;
+    for (int attempt = 0; attempt < MaxApplyAttempts; ++attempt) {
         const auto head = co_await readHead();
         if (!head.ok()) {
-            outcome.result = inDoubt ? ApplyResult::Unknown : ApplyResult::NotAccepted;
-            co_await pause();
+            outcome.result = mayBeWritten ? ApplyResult::Unknown : ApplyResult::NotAccepted;
+            co_await waitForRetry();
             continue;
         }
         if (base.value() < 0)
@@ -84,8 +86,9 @@
             co_return outcome;
         }
         if (head->revision != base) {
-            // The guard can never hold again, so an earlier try in doubt cannot land any more.
-            outcome = co_await conflict(base, head->revision);
+            // The head never returns to the base revision, so an earlier attempt with an unknown outcome cannot be
+            // applied any more.
+            outcome = co_await describeConflict(base, head->revision);
             co_return outcome;
         }
         StoreWrite write;
@@ -93,8 +96,8 @@
         write.expectedModRevision = base.value();
         std::vector<std::string> nonces = head->nonces;
         nonces.push_back(nonce);
-        if (nonces.size() > NoncesKept)
-            nonces.erase(nonces.begin(), nonces.end() - NoncesKept);
+        if (nonces.size() > MaxStoredNonces)
+            nonces.erase(nonces.begin(), nonces.end() - MaxStoredNonces);
         write.puts.emplace_back(storekeys::configurationHead, absl::StrJoin(nonces, "\n"));
         for (const ConfigurationEntry& entry : entries) {
             if (entry.value.empty())
@@ -108,11 +111,12 @@
             outcome.revision = Revision(result.revision);
             co_return outcome;
         }
-        // A second try with the same guard is safe: at most one of the two can find it holding.
-        inDoubt = inDoubt || result.outcome == WriteOutcome::Unknown;
-        outcome.result = inDoubt ? ApplyResult::Unknown : ApplyResult::NotAccepted;
+        // Another attempt with this guard is safe, because at most one of the attempts can find the head at the base
+        // revision.
+        mayBeWritten = mayBeWritten || result.outcome == WriteOutcome::Unknown;
+        outcome.result = mayBeWritten ? ApplyResult::Unknown : ApplyResult::NotAccepted;
         if (result.outcome != WriteOutcome::Conflict)
-            co_await pause();
+            co_await waitForRetry();
     }
     co_return outcome;
 }
--- a/src/shell/EtcdStoreClient.cpp
+++ b/src/shell/EtcdStoreClient.cpp
@@ -14,11 +14,13 @@
     namespace json = boost::json;
 
     constexpr std::chrono::milliseconds CallTimeout { 1500 };
-    constexpr std::chrono::milliseconds WatchSilence { 30000 }; ///< a watch without news is renewed after this
+    constexpr std::chrono::milliseconds WatchIdleTimeout {
+        30000
+    }; ///< a watch without data ends after this time, and the caller starts a new one
 
     std::string toBase64(const std::string& text) { return absl::Base64Escape(text); }
 
-    StoreEntry entryOf(const json::object& object)
+    StoreEntry parseEntry(const json::object& object)
     {
         return { fromBase64(object, "key"), fromBase64(object, "value"), numberOf(object, "mod_revision") };
     }
@@ -42,7 +44,8 @@
         return { { "request_delete_range", std::move(range) } };
     }
 
-    json::object txnOf(const StoreWrite& write)
+    /// @return the body of a txn call that compares the revision of the guard key
+    json::object makeTxnBody(const StoreWrite& write)
     {
         json::array success;
         for (const auto& [key, value] : write.puts)
@@ -59,7 +62,8 @@
         return txn;
     }
 
-    StoreWatchBatch batchOf(const json::object& result)
+    /// Decodes one result of a watch stream.
+    StoreWatchBatch parseBatch(const json::object& result)
     {
         StoreWatchBatch batch;
         batch.revision = headerRevision(result);
@@ -72,7 +76,7 @@
             if (!entry)
                 continue;
             const json::value* type = event->if_contains("type");
-            batch.events.push_back({ entryOf(*entry), type && type->is_string() && type->as_string() == "DELETE" });
+            batch.events.push_back({ parseEntry(*entry), type && type->is_string() && type->as_string() == "DELETE" });
         }
         return batch;
     }
@@ -94,10 +98,10 @@
 {
 }
 
-HttpCall EtcdStoreClient::callTo(std::string target, std::string body) const
+HttpCall EtcdStoreClient::makeCall(std::string target, std::string body) const
 {
     HttpCall call;
-    call.address = m_addresses[m_current];
+    call.address = m_addresses[m_currentAddress];
     call.verb = http::verb::post;
     call.target = std::move(target);
     call.body = std::move(body);
@@ -108,28 +112,28 @@
 Awaitable<absl::StatusOr<StoreRange>> EtcdStoreClient::onRange(std::string begin, std::string end)
 {
     const json::object body { { "key", toBase64(begin) }, { "range_end", toBase64(end) } };
-    HttpCall call = callTo("/v3/kv/range", json::serialize(body));
+    HttpCall call = makeCall("/v3/kv/range", json::serialize(body));
     const HttpAnswer answer = co_await m_client.call(std::move(call));
     if (answer.status != 200) {
-        next();
+        useNextAddress();
         co_return absl::UnavailableError(absl::StrCat("range: ", answer.status, " ", answer.error));
     }
     const json::object reply = parseObject(answer.body);
     StoreRange range { headerRevision(reply), {} };
     if (const json::value* entries = reply.if_contains("kvs"); entries && entries->is_array()) {
         for (const json::value& entry : entries->as_array())
-            range.entries.push_back(entryOf(entry.as_object()));
+            range.entries.push_back(parseEntry(entry.as_object()));
     }
     co_return range;
 }
 
 Awaitable<StoreWriteResult> EtcdStoreClient::onWrite(StoreWrite write)
 {
-    HttpCall call = callTo("/v3/kv/txn", json::serialize(txnOf(write)));
+    HttpCall call = makeCall("/v3/kv/txn", json::serialize(makeTxnBody(write)));
     const HttpAnswer answer = co_await m_client.call(std::move(call));
     StoreWriteResult result;
     if (answer.phase == CallPhase::NotConnected) {
-        next();
+        useNextAddress();
         co_return result;
     }
     const json::object reply = parseObject(answer.body);
@@ -140,10 +144,11 @@
         result.revision = headerRevision(reply);
         co_return result;
     }
-    // Refused for its rate: the service did not look at it. All else is in doubt.
+    // Status 429: the service rejected the write because of the call rate and did not process it. For any other
+    // status, or without a response, the outcome is unknown.
     result.outcome = answer.status == 429 ? WriteOutcome::NotSent : WriteOutcome::Unknown;
     if (answer.phase != CallPhase::Answered)
-        next();
+        useNextAddress();
     co_return result;
 }
 
@@ -153,7 +158,7 @@
     const json::object body { { "create_request",
         { { "key", toBase64(begin) }, { "range_end", toBase64(end) },
             { "start_revision", std::to_string(fromRevision) } } } };
-    HttpCall call = callTo("/v3/watch", json::serialize(body));
+    HttpCall call = makeCall("/v3/watch", json::serialize(body));
     std::string pending;
     bool compacted = false;
     const auto receive = [&](std::string_view bytes) {
@@ -168,17 +173,17 @@
                 compacted = true;
                 return false;
             }
-            if (!onWatch(batchOf(*result)))
+            if (!onWatch(parseBatch(*result)))
                 return false;
         }
         return true;
     };
     HttpClient::Receive onBytes = receive;
-    const HttpAnswer answer = co_await m_client.stream(std::move(call), WatchSilence, std::move(onBytes), nullptr);
+    const HttpAnswer answer = co_await m_client.stream(std::move(call), WatchIdleTimeout, std::move(onBytes), nullptr);
     if (compacted)
         co_return absl::OutOfRangeError("compacted");
     if (answer.phase == CallPhase::NotConnected)
-        next();
+        useNextAddress();
     co_return absl::UnavailableError(absl::StrCat("watch ended: ", answer.status, " ", answer.error));
 }
 
--- a/src/shell/EtcdStoreClient.h
+++ b/src/shell/EtcdStoreClient.h
@@ -5,10 +5,10 @@
 
 namespace crocusmount {
 
-/// Speaks the published JSON form of the etcd v3 interface: range, txn, watch.
+/// Client of a store with the JSON gateway of etcd v3. Uses the calls range, txn and watch.
 class EtcdStoreClient final : public StoreClient {
 public:
-    /// @param addresses  "ip:port" of the service; the next is tried when one cannot be reached
+    /// @param addresses  "ip:port" of each server of the store; after a failure the client switches to the next one
     EtcdStoreClient(net::io_context&, std::vector<std::string> addresses);
 
 private:
@@ -16,12 +16,14 @@
     Awaitable<StoreWriteResult> onWrite(StoreWrite) override;
     Awaitable<absl::Status> onWatch(std::string begin, std::string end, std::int64_t fromRevision, OnWatch) override;
 
-    HttpCall callTo(std::string target, std::string body) const;
-    void next() { m_current = (m_current + 1) % m_addresses.size(); }
+    /// @return a POST request to the current server
+    HttpCall makeCall(std::string target, std::string body) const;
+    /// Switches to the next server for later calls.
+    void useNextAddress() { m_currentAddress = (m_currentAddress + 1) % m_addresses.size(); }
 
     HttpClient m_client;
     std::vector<std::string> m_addresses;
-    std::size_t m_current = 0;
+    std::size_t m_currentAddress = 0; ///< index of the current server in m_addresses
 };
 
 } // namespace crocusmount
--- a/src/shell/InstanceList.h
+++ b/src/shell/InstanceList.h
@@ -7,8 +7,9 @@
 
 namespace crocusmount {
 
-/// Reads the platform's list of entry instances; entries without the four fields are passed over.
-/// @param text  {"instances":[{"instance":"","dataCentre":"","callers":"ip:port","peers":"ip:port","leaving":false}]}
+/// Decodes the platform's list of instances. Entries without "instance", "callers" or "peers" are skipped.
+/// @param text  JSON of the form
+///              {"instances":[{"instance":"","dataCentre":"","callers":"ip:port","peers":"ip:port","leaving":false}]}
 std::vector<MemberUpdate> instancesFromJson(const std::string& text);
 
 } // namespace crocusmount
--- a/src/shell/MetricFamilies.cpp
+++ b/src/shell/MetricFamilies.cpp
@@ -47,14 +47,14 @@
     for (const auto& [label, value] : labels)
         metric.label.push_back({ label, value });
     double cumulative = latency.count(-1);
-    for (int bin = 0; bin < static_cast<int>(LatencyHistogram::Bins); ++bin) {
+    for (int bin = 0; bin < static_cast<int>(LatencyHistogram::BinCount); ++bin) {
         cumulative += latency.count(bin);
         prometheus::ClientMetric::Bucket bucket;
         bucket.cumulative_count = static_cast<std::uint64_t>(cumulative);
         bucket.upper_bound = latency.upperBound(bin);
         metric.histogram.bucket.push_back(bucket);
     }
-    cumulative += latency.count(static_cast<int>(LatencyHistogram::Bins));
+    cumulative += latency.count(static_cast<int>(LatencyHistogram::BinCount));
     metric.histogram.sample_count = static_cast<std::uint64_t>(cumulative);
     metric.histogram.sample_sum = latency.sum();
     family(name, help, prometheus::MetricType::Histogram).metric.push_back(std::move(metric));
--- a/src/shell/PeerCodec.cpp
+++ b/src/shell/PeerCodec.cpp
@@ -69,7 +69,7 @@
         return news;
     }
 
-    bool known(const wire::Member& member)
+    bool hasKnownState(const wire::Member& member)
     {
         return member.state >= wire::MemberState::ALIVE && member.state <= wire::MemberState::DEAD;
     }
@@ -95,7 +95,7 @@
     const auto in = fromThriftBytes<wire::Message>(bytes);
     if (!in.ok())
         return in.status();
-    if (in->kind < wire::MessageKind::PING || in->kind > wire::MessageKind::NEWS || !known(in->sender))
+    if (in->kind < wire::MessageKind::PING || in->kind > wire::MessageKind::NEWS || !hasKnownState(in->sender))
         return absl::InvalidArgumentError("unknown kind or state");
     PeerMessage message;
     message.kind = static_cast<PeerMessageKind>(in->kind);
@@ -103,7 +103,7 @@
     message.sequence = static_cast<std::uint64_t>(in->sequence);
     message.target = InstanceId(in->target);
     for (const wire::Member& member : in->updates) {
-        if (!known(member))
+        if (!hasKnownState(member))
             return absl::InvalidArgumentError("unknown state");
         message.updates.push_back(fromWire(member));
     }
--- a/src/shell/PeerCodec.h
+++ b/src/shell/PeerCodec.h
@@ -6,16 +6,19 @@
 #include <absl/status/statusor.h>
 #include <string>
 
-/// The Thrift compact form of what instances send each other (src/idl/peer.thrift).
+/// Converts the messages between instances to and from the Thrift compact protocol (src/idl/peer.thrift).
 namespace crocusmount {
 
 std::string encode(const PeerMessage&);
 std::string encode(const ConfigurationChange&);
+/// @param since  revision of the configuration that the sender has
 std::string encodeConfigurationRequest(Revision since);
 
-/// @return the message, or InvalidArgument where the bytes are not one
+/// @return the message, or InvalidArgument if the bytes cannot be decoded or hold an unknown kind or state
 absl::StatusOr<PeerMessage> decodePeerMessage(const std::string& bytes);
+/// @return the change, or InvalidArgument if the bytes cannot be decoded
 absl::StatusOr<ConfigurationChange> decodeConfigurationChange(const std::string& bytes);
+/// @return the revision since which the peer requests changes, or InvalidArgument if the bytes cannot be decoded
 absl::StatusOr<Revision> decodeConfigurationRequest(const std::string& bytes);
 
 } // namespace crocusmount
--- a/src/shell/PeerTransport.cpp
+++ b/src/shell/PeerTransport.cpp
@@ -11,15 +11,19 @@
 namespace {
 
     constexpr auto asTuple = net::as_tuple(useAwaitable);
-    constexpr std::size_t LargestDatagram = 65000;
-    constexpr std::uint32_t LargestFrame = 256U << 20;
+    constexpr std::size_t MaxDatagramBytes = 65000;
+    /// Largest configuration request or reply.
+    constexpr std::uint32_t MaxFrameBytes = 256U << 20;
+    /// Limit for a whole fetch of the configuration, on both sides.
     constexpr std::chrono::milliseconds FetchTimeout { 3000 };
 
+    /// Reads a frame: its length as a big-endian 32-bit number, then its bytes.
+    /// @return the bytes, or Unavailable if the connection fails or the frame is too large
     Awaitable<absl::StatusOr<std::string>> readFrame(TcpStream& stream)
     {
         boost::endian::big_uint32_buf_t length {};
         auto [error, count] = co_await net::async_read(stream, net::buffer(&length, sizeof(length)), asTuple);
-        if (error || length.value() > LargestFrame)
+        if (error || length.value() > MaxFrameBytes)
             co_return absl::UnavailableError(error ? error.message() : "frame too large");
         std::string bytes(length.value(), '\0');
         std::tie(error, count) = co_await net::async_read(stream, net::buffer(bytes), asTuple);
@@ -28,6 +32,8 @@
         co_return bytes;
     }
 
+    /// Writes a frame as readFrame() expects it.
+    /// @return whether all bytes were written
     Awaitable<bool> writeFrame(TcpStream& stream, std::string bytes)
     {
         const boost::endian::big_uint32_buf_t length(static_cast<std::uint32_t>(bytes.size()));
@@ -90,14 +96,14 @@
 
 Awaitable<void> PeerTransport::receiveLoop()
 {
-    std::string buffer(LargestDatagram, '\0');
+    std::string buffer(MaxDatagramBytes, '\0');
     Udp::endpoint from;
     for (;;) {
         const auto [error, count] = co_await m_socket.async_receive_from(net::buffer(buffer), from, asTuple);
         if (error == net::error::operation_aborted)
             co_return;
         if (error)
-            continue; // A peer that is not there shows as a refused datagram.
+            continue; // A datagram that an absent peer refused is reported as a receive error.
         m_traffic.receivedBytes += count;
         auto message = decodePeerMessage(buffer.substr(0, count));
         if (message.ok())
--- a/src/shell/PeerTransport.h
+++ b/src/shell/PeerTransport.h
@@ -12,26 +12,32 @@
 
 namespace crocusmount {
 
-/// Datagrams between instances, and the configuration over TCP on the same port number.
+/// Exchanges messages with other instances as UDP datagrams, and the configuration over TCP on the same port number.
 class PeerTransport {
 public:
+    /// Callbacks of the transport.
     struct Handlers {
-        std::function<void(PeerMessage)> onMessage;
-        std::function<ConfigurationChange(Revision since)> configurationSince;
-        std::function<void(ConfigurationChange)> onConfiguration;
+        std::function<void(PeerMessage)> onMessage; ///< a message arrived
+        std::function<ConfigurationChange(Revision since)> configurationSince; ///< content of the reply to a peer
+        std::function<void(ConfigurationChange)> onConfiguration; ///< a fetched change arrived
     };
+    /// Totals since the start of the transport.
     struct Traffic {
         std::uint64_t sentBytes = 0;
         std::uint64_t receivedBytes = 0;
-        std::uint64_t malformed = 0;
-        std::uint64_t sendErrors = 0;
+        std::uint64_t malformed = 0; ///< datagrams and frames that could not be decoded
+        std::uint64_t sendErrors = 0; ///< datagrams that the socket did not accept
     };
 
-    /// @return the bound transport, or the reason it cannot be bound
+    /// @param address  "ip:port" to bind
+    /// @return the bound transport, InvalidArgument for a malformed address, or Unavailable if binding fails
     static absl::StatusOr<std::unique_ptr<PeerTransport>> make(net::io_context&, const std::string& address, Handlers);
 
+    /// Sends a datagram without confirmation. A malformed address is ignored.
+    /// @param address  "ip:port" of the peer
     void send(const std::string& address, const PeerMessage&);
-    /// Asks a peer for what changed since a revision; the answer goes to onConfiguration.
+    /// Requests the changes since a revision from a peer. The reply goes to onConfiguration; a failed fetch is dropped.
+    /// @param address  "ip:port" of the peer
     void fetchConfiguration(const std::string& address, Revision since);
     const Traffic& traffic() const { return m_traffic; }
 
--- a/src/shell/Settings.cpp
+++ b/src/shell/Settings.cpp
@@ -20,6 +20,7 @@
 
     namespace json = boost::json;
 
+    /// @return OK, or InvalidArgument with one line for each violation of the schema
     absl::Status checkAgainstSchema(const std::string& name, const json::value& document)
     {
         static const json::value schemaDocument = json::parse(settingsSchema);
@@ -41,7 +42,7 @@
         return absl::InvalidArgumentError(message);
     }
 
-    /// Reads members of one section of the settings into fields, leaving defaults where a key is absent.
+    /// Reads one section of the settings into fields. A field whose key is absent keeps its default.
     class Section {
     public:
         Section(const json::object& root, const char* name)
@@ -78,19 +79,20 @@
         const json::object* m_object = nullptr;
     };
 
-    std::string text(const json::object& object, const char* key)
+    /// @return the text of a key, or an empty text if the key is absent
+    std::string textOrEmpty(const json::object& object, const char* key)
     {
         const json::value* value = object.if_contains(key);
         return value ? std::string(value->as_string()) : std::string();
     }
 
-    MemberUpdate seedOf(const json::object& object)
+    MemberUpdate parseSeed(const json::object& object)
     {
         MemberUpdate seed;
-        seed.instance = InstanceId(text(object, "instance"));
-        seed.dataCentre = DataCentreId(text(object, "dataCentre"));
-        seed.callerAddress = text(object, "callers");
-        seed.peerAddress = text(object, "peers");
+        seed.instance = InstanceId(textOrEmpty(object, "instance"));
+        seed.dataCentre = DataCentreId(textOrEmpty(object, "dataCentre"));
+        seed.callerAddress = textOrEmpty(object, "callers");
+        seed.peerAddress = textOrEmpty(object, "peers");
         return seed;
     }
 
@@ -142,6 +144,7 @@
         Section(root, "log").read("format", settings.logFormat).read("level", settings.logLevel);
     }
 
+    /// @return OK, or InvalidArgument if two seeds have one instance id
     absl::Status checkSeeds(const std::string& name, const Settings& settings)
     {
         std::set<InstanceId> seen;
@@ -167,9 +170,9 @@
         return status;
     const json::object& root = document.as_object();
     Settings settings;
-    settings.listen = text(root, "listen");
-    settings.peerListen = text(root, "peerListen");
-    settings.instanceList = text(root, "instanceList");
+    settings.listen = textOrEmpty(root, "listen");
+    settings.peerListen = textOrEmpty(root, "peerListen");
+    settings.instanceList = textOrEmpty(root, "instanceList");
     for (const json::value& address : root.at("store").as_array())
         settings.store.emplace_back(address.as_string());
     if (const json::value* hashes = root.if_contains("operatorTokenSha256")) {
@@ -178,16 +181,17 @@
     }
     if (const json::value* seeds = root.if_contains("seeds")) {
         for (const json::value& seed : seeds->as_array())
-            settings.seeds.push_back(seedOf(seed.as_object()));
+            settings.seeds.push_back(parseSeed(seed.as_object()));
     }
     if (auto status = checkSeeds(name, settings); !status.ok())
         return status;
     MemberUpdate& self = settings.core.self;
-    self.instance = InstanceId(text(root, "instance"));
-    self.dataCentre = DataCentreId(text(root, "dataCentre"));
+    self.instance = InstanceId(textOrEmpty(root, "instance"));
+    self.dataCentre = DataCentreId(textOrEmpty(root, "dataCentre"));
     self.callerAddress = settings.listen;
     self.peerAddress = settings.peerListen;
-    // A restarted instance must go before its own past, whatever its peers remember of it.
+    // The start time in Unix milliseconds serves as the incarnation, so that updates of a restarted instance supersede
+    // the older ones that peers still hold.
     self.incarnation = static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch())
             .count());
--- a/src/shell/SettingsSchema.h
+++ b/src/shell/SettingsSchema.h
@@ -2,7 +2,7 @@
 
 namespace crocusmount {
 
-/// The JSON Schema that settings are checked against. Names of spans of time end in their unit.
+/// JSON Schema of the settings file of a daemon. Keys of durations end in their unit, "Ms" or "Us".
 extern const char* const settingsSchema;
 
 } // namespace crocusmount
--- a/src/shell/StoreCalls.h
+++ b/src/shell/StoreCalls.h
@@ -6,22 +6,22 @@
 
 namespace crocusmount {
 
-/// What a call to the platform's store is for.
+/// Purpose of a call to the platform's store.
 enum class StoreCallKind : std::uint8_t {
     Read,
     Watch,
     Write,
-    Grant, ///< of a lease
-    Renewal, ///< of a lease; the platform charges it a tenth
-    End, ///< of a lease
+    Grant, ///< grants a lease
+    Renewal, ///< renews a lease; the platform charges a tenth of the price of other calls
+    End, ///< ends a lease
 };
 
 constexpr std::size_t StoreCallKindCount = 6;
 
-/// Calls by kind.
+/// Number of calls by kind, indexed by StoreCallKind.
 using StoreCalls = std::array<std::uint64_t, StoreCallKindCount>;
 
-/// @return the kind's label in metrics
+/// @return the label of a kind in metrics
 constexpr const char* toString(StoreCallKind kind)
 {
     switch (kind) {
--- a/src/shell/StoreClient.h
+++ b/src/shell/StoreClient.h
@@ -11,58 +11,69 @@
 
 namespace crocusmount {
 
+/// A key with its value.
 struct StoreEntry {
     std::string key;
     std::string value;
-    std::int64_t modRevision = 0;
+    std::int64_t modRevision = 0; ///< store revision of the last change of this key
 };
 
+/// Result of a range read.
 struct StoreRange {
-    std::int64_t revision = 0; ///< of the whole store when it was read
-    std::vector<StoreEntry> entries; ///< in order of key
+    std::int64_t revision = 0; ///< of the whole store at the time of the read
+    std::vector<StoreEntry> entries; ///< sorted by key
 };
 
-/// One atomic write: applied as a whole if the guarded key still stands at the expected revision.
+/// One atomic write of several keys. The store applies it only if the guard key has the expected revision.
 struct StoreWrite {
-    std::string guardKey; ///< empty: written whatever stands there
+    std::string guardKey; ///< empty: unconditional write
     std::int64_t expectedModRevision = 0; ///< 0: the key must not exist
-    std::vector<std::pair<std::string, std::string>> puts;
-    std::int64_t lease = 0; ///< of the keys put; 0: they last. Only where the client is a LeaseClient too.
-    std::vector<std::string> deletes;
-    std::vector<std::pair<std::string, std::string>> deleteRanges; ///< [begin, end)
+    std::vector<std::pair<std::string, std::string>> puts; ///< keys and their new values
+    /// Lease of the keys in puts; 0: none. Only clients that are a LeaseClient too support leases.
+    std::int64_t lease = 0;
+    std::vector<std::string> deletes; ///< keys to delete
+    std::vector<std::pair<std::string, std::string>> deleteRanges; ///< ranges of keys [begin, end) to delete
 };
 
 struct StoreWriteResult {
     WriteOutcome outcome = WriteOutcome::NotSent;
-    std::int64_t revision = 0; ///< if committed
+    std::int64_t revision = 0; ///< store revision of the write, if committed
 };
 
+/// One change of a key.
 struct StoreEvent {
-    StoreEntry entry;
+    StoreEntry entry; ///< for a deleted key, only the key and the revision have a meaning
     bool deleted = false;
 };
 
+/// Changes that a watch delivers together.
 struct StoreWatchBatch {
-    std::int64_t revision = 0;
+    std::int64_t revision = 0; ///< of the whole store when the batch was sent
     std::vector<StoreEvent> events;
 };
 
-/// The platform's key-value service. Only its implementations know the service's protocol.
+/// Client of the platform's key-value service. Implementations speak the service's protocol.
 class StoreClient {
 public:
+    /// Receives a batch of changes.
+    /// @return false to end the watch
     using OnWatch = std::function<bool(StoreWatchBatch)>;
 
     virtual ~StoreClient() = default;
 
     /// Reads the keys in [begin, end) at one revision.
+    /// @return the entries, or the error of the call
     Awaitable<absl::StatusOr<StoreRange>> range(std::string begin, std::string end)
     {
         return onRange(std::move(begin), std::move(end));
     }
+    /// Sends an atomic write. The outcome is Unknown if the store may have received the write but did not
+    /// confirm the result.
     Awaitable<StoreWriteResult> write(StoreWrite write) { return onWrite(std::move(write)); }
-    /// Reports changes of [begin, end) from a revision on, until the callback returns false or the watch breaks.
-    /// @return OutOfRange where the revision is compacted, DeadlineExceeded where the store fell silent, else why the
-    ///         watch ended
+    /// Reports changes of keys in [begin, end) until the callback returns false or the watch fails.
+    /// @param fromRevision  revision of the first change to report
+    /// @return OutOfRange if the store has compacted that revision, DeadlineExceeded if the client finds that the store
+    ///         has stopped responding, otherwise the reason why the watch ended
     Awaitable<absl::Status> watch(std::string begin, std::string end, std::int64_t fromRevision, OnWatch onWatch)
     {
         return this->onWatch(std::move(begin), std::move(end), fromRevision, std::move(onWatch));
@@ -74,7 +85,7 @@
     virtual Awaitable<absl::Status> onWatch(std::string begin, std::string end, std::int64_t fromRevision, OnWatch) = 0;
 };
 
-/// @return the end of the range of keys that begin with a prefix
+/// @return the exclusive end of the range of keys that start with a prefix
 std::string prefixEnd(std::string prefix);
 
 } // namespace crocusmount
--- a/src/shell/ThriftBytes.h
+++ b/src/shell/ThriftBytes.h
@@ -8,7 +8,8 @@
 
 namespace crocusmount {
 
-/// @return the compact form of a generated struct
+/// Serializes a generated Thrift struct.
+/// @return the struct in the Thrift compact protocol
 template <typename Struct>
 std::string toThriftBytes(const Struct& value)
 {
@@ -19,7 +20,9 @@
     return buffer->getBufferAsString();
 }
 
-/// @return the struct, or InvalidArgument where the bytes are not one
+/// Deserializes a generated Thrift struct.
+/// @param bytes  the struct in the Thrift compact protocol
+/// @return the struct, or InvalidArgument if the bytes cannot be decoded
 template <typename Struct>
 absl::StatusOr<Struct> fromThriftBytes(const std::string& bytes)
 {
--- a/tests/SettingsTest.cpp
+++ b/tests/SettingsTest.cpp
@@ -5,17 +5,17 @@
 
 namespace {
 
-std::string settingsWith(const std::string& more)
+std::string settingsWith(const std::string& extraMembers)
 {
     return R"({"instance":"e1","dataCentre":"dc1","listen":"127.0.0.1:1","peerListen":"127.0.0.1:2","store":["127.0.0.1:3"])"
-        + more + "}";
+        + extraMembers + "}";
 }
 
 } // namespace
 
 TEST_GROUP(Settings) {};
 
-TEST(Settings, GoodOnesAreReadWithTheirUnits)
+TEST(Settings, ReadsValuesWithTheirUnits)
 {
     const auto settings
         = parseSettings("f", settingsWith(R"(,"requests":{"minStallMs":250},"routing":{"picker":"random"})"));
@@ -25,13 +25,13 @@
     CHECK_TEXT("dc1", settings->core.self.dataCentre.value());
 }
 
-TEST(Settings, BadOnesNameFileAndPath)
+TEST(Settings, ErrorsNameFileAndPath)
 {
     const std::string seed = R"({"instance":"a","dataCentre":"d","callers":"127.0.0.1:1","peers":"127.0.0.1:2"})";
     const struct {
         const char* name;
         std::string text;
-        const char* expected; ///< must stand in the error
+        const char* expected; ///< text that the error must contain
     } cases[] = {
         { "not JSON", "{", "f: not JSON" },
         { "missing key", R"({"instance":"e1"})", "dataCentre" },
