--- a/src/shell/EtcdStoreClient.cpp
+++ b/src/shell/EtcdStoreClient.cpp
@@ -14,9 +14,8 @@
     namespace json = boost::json;
 
     constexpr std::chrono::milliseconds CallTimeout { 1500 };
-    constexpr std::chrono::milliseconds WatchIdleTimeout {
-        30000
-    }; ///< a watch without data ends after this time, and the caller starts a new one
+    /// A watch without data ends after this time, and the caller starts a new one.
+    constexpr std::chrono::milliseconds WatchIdleTimeout { 30000 };
 
     std::string toBase64(const std::string& text) { return absl::Base64Escape(text); }
 
--- a/src/shell/StoreClient.h
+++ b/src/shell/StoreClient.h
@@ -35,6 +35,7 @@
     std::vector<std::pair<std::string, std::string>> deleteRanges; ///< ranges of keys [begin, end) to delete
 };
 
+/// Result of an atomic write.
 struct StoreWriteResult {
     WriteOutcome outcome = WriteOutcome::NotSent;
     std::int64_t revision = 0; ///< store revision of the write, if committed
@@ -67,8 +68,8 @@
     {
         return onRange(std::move(begin), std::move(end));
     }
-    /// Sends an atomic write. The outcome is Unknown if the store may have received the write but did not
-    /// confirm the result.
+    /// Sends an atomic write. The outcome is Unknown if the store may have applied the write but did not
+    /// confirm it.
     Awaitable<StoreWriteResult> write(StoreWrite write) { return onWrite(std::move(write)); }
     /// Reports changes of keys in [begin, end) until the callback returns false or the watch fails.
     /// @param fromRevision  revision of the first change to report
