--- a/programs/CommandLine.cpp
+++ b/programs/CommandLine.cpp
@@ -12,26 +12,26 @@
     {
         std::cout << usage << "\nOptions:\n";
         for (const Option& option : options) {
-            std::string left = "  --" + option.name + (option.argument.empty() ? "" : " " + option.argument);
-            left.resize(std::max<std::size_t>(left.size() + 1, 30), ' ');
-            std::cout << left << option.help << "\n";
+            std::string synopsis = "  --" + option.name + (option.argument.empty() ? "" : " " + option.argument);
+            synopsis.resize(std::max<std::size_t>(synopsis.size() + 1, 30), ' ');
+            std::cout << synopsis << option.help << "\n";
         }
         std::cout << "  --help                      print this\n  --version                   print the version\n";
     }
 
 } // namespace
 
-std::string Arguments::get(const std::string& name, const std::string& otherwise) const
+std::string Arguments::get(const std::string& name, const std::string& fallback) const
 {
     const auto found = options.find(name);
-    return found == options.end() ? otherwise : found->second;
+    return found == options.end() ? fallback : found->second;
 }
 
-std::optional<long> Arguments::number(const std::string& name, long otherwise) const
+std::optional<long> Arguments::number(const std::string& name, long fallback) const
 {
     const auto found = options.find(name);
     if (found == options.end())
-        return otherwise;
+        return fallback;
     char* end = nullptr;
     const long value = std::strtol(found->second.c_str(), &end, 10);
     if (found->second.empty() || *end)
@@ -64,8 +64,8 @@
             std::exit(ExitUsage);
         arguments.options[options[static_cast<std::size_t>(index)].name] = optarg ? optarg : "";
     }
-    for (int word = optind; word < argc; ++word)
-        arguments.words.emplace_back(argv[word]);
+    for (int position = optind; position < argc; ++position)
+        arguments.words.emplace_back(argv[position]);
     return arguments;
 }
 
--- a/programs/crocusmount-bound.cpp
+++ b/programs/crocusmount-bound.cpp
@@ -1,4 +1,4 @@
-// Prints the most tokens a second that a placement can carry.
+// Prints an upper bound on the throughput of a placement, in tokens per second.
 
 #include "planning/FlowBound.h"
 #include "programs/CommandLine.h"
@@ -24,7 +24,7 @@
         holdings.push_back(report);
     }
     if (holdings.empty()) {
-        std::cerr << "crocusmount-bound: see --help\n";
+        std::cerr << "crocusmount-bound: expected LAYERS and at least one BEGIN:END:SLOTS:STEP-US; see --help\n";
         return ExitUsage;
     }
     const auto layers = static_cast<std::uint32_t>(std::strtoul(arguments.words[0].c_str(), nullptr, 10));
--- a/programs/crocusmount-entry.cpp
+++ b/programs/crocusmount-entry.cpp
@@ -1,4 +1,4 @@
-// The entry instance on the users' platform: the relay, with the platform's adapter around it.
+// The entry instance on the platform: the relay with the platform's adapters.
 
 #include "edge/DecisionLog.h"
 #include "edge/FrontServer.h"
@@ -30,26 +30,28 @@
 
 constexpr const char* SettingsVariable = "CROCUSMOUNT_NODE_FILE";
 constexpr const char* DefaultSettingsFile = "/etc/crocusmount/settings.yaml";
-/// Where metrics are served; deploy/system.toml names it too.
+/// TCP port that serves the metrics. deploy/system.toml names the same port.
 constexpr const char* MetricsPort = "9464";
-/// Log lines on single calls in one second; the state's own lines come on top.
-constexpr std::uint32_t LogLinesPerSecond = 200;
-/// Part of the retries that the platform allows which this product uses; the rest covers instances that are counted
+/// Limit on log lines about individual calls, per second. Lines about the state of the instance do not count.
+constexpr std::uint32_t CallLogLinesPerSecond = 200;
+/// Share of the platform's retry limit that all instances use together. The rest covers instances that are counted
 /// late.
-constexpr double RetryShare = 0.85;
-/// Part of the time for which a leaving backend server goes on serving after which running streams are moved off it.
-/// Most end by themselves before; each that is moved takes its KV cache along, half a gigabyte for a prompt of 900
-/// tokens.
-constexpr double MoveOffShare = 0.5;
-/// By then the other instances send callers elsewhere; what comes on a kept connection would come too late to end.
-constexpr std::chrono::milliseconds CloseIdleAfter { 700 };
-/// Callers that know this instance still connect for up to three lifetimes of a directory answer.
-constexpr std::chrono::milliseconds LingerAfterDrain { 3500 };
-/// Part of the grace after which no call begins any more.
-constexpr double LastCallShare = 0.6;
-/// Part of the grace after which the process ends whatever still runs.
-constexpr double EndShare = 0.93;
+constexpr double RetryLimitShare = 0.85;
+/// Share of a leaving backend server's drain time after which its running streams are rerouted. Most streams finish
+/// earlier. Rerouting a stream moves its KV cache: half a gigabyte for a prompt of 900 tokens.
+constexpr double RerouteDelayShare = 0.5;
+/// Time from the start of a drain until idle connections are closed. By then the other instances send callers
+/// elsewhere, and a call that arrives on a kept-alive connection would start too late to finish.
+constexpr std::chrono::milliseconds IdleCloseDelay { 700 };
+/// Minimum time from the start of a drain to the end of the process: callers that know this instance still connect for
+/// up to three lifetimes of a directory answer.
+constexpr std::chrono::milliseconds MinimumDrainTime { 3500 };
+/// Share of the grace period after which no new call is started.
+constexpr double NewCallCutoffShare = 0.6;
+/// Share of the grace period after which the process stops even if calls are still running.
+constexpr double ForcedStopShare = 0.93;
 
+/// @return the instance name with a random suffix, which differs at each start
 std::string instanceId(const PlatformSettings& settings)
 {
     std::random_device random;
@@ -61,14 +63,14 @@
     relay::RelayOptions options;
     options.without = without;
     options.dataCentre = DataCentreId(settings.dataCentre);
-    options.retryRatio = settings.retryRatio * RetryShare;
+    options.retryRatio = settings.retryRatio * RetryLimitShare;
     options.retryRipening = Duration(static_cast<std::int64_t>(settings.retryWindowSeconds * 1e6));
-    options.rerouteDelay = Duration(static_cast<std::int64_t>(MoveOffShare * settings.drainMs * 1000));
-    options.retrySlack = settings.retrySlack * RetryShare;
+    options.rerouteDelay = Duration(static_cast<std::int64_t>(RerouteDelayShare * settings.drainMs * 1000));
+    options.retrySlack = settings.retrySlack * RetryLimitShare;
     return options;
 }
 
-/// All parts of one instance, put together.
+/// Owns and connects the components of one entry instance.
 class EntryInstance {
 public:
     EntryInstance(net::io_context& context, const PlatformSettings& settings, const relay::DisabledMechanisms& without)
@@ -91,6 +93,8 @@
     {
     }
 
+    /// Opens the listeners and starts the background tasks.
+    /// @return an error if an address cannot be listened on
     absl::Status start()
     {
         auto front = relay::FrontServer::make(m_context, m_settings.callerAddress, m_node, m_reader);
@@ -124,7 +128,9 @@
 private:
     bool ready() const { return m_mirror.isComplete() && m_node.reducer().routes() && !m_node.reducer().isDraining(); }
 
-    /// An instance that cannot serve calls does not send callers to itself, nor to others that it may not know.
+    /// @return the addresses for the directory. The list is empty while this instance has no routes: the instance
+    /// cannot
+    ///         serve calls then, and may not know the other instances.
     std::vector<std::string> callerAddresses() const
     {
         return m_node.reducer().routes() ? m_registry.callerAddresses() : std::vector<std::string>();
@@ -163,7 +169,7 @@
             if (error)
                 return;
             if (signal == SIGHUP) {
-                // All that these settings hold is fixed for a process's life.
+                // The settings are read once, at the start, so a reload changes nothing.
                 relay::DecisionLog::state("reload", { { "changed", false } });
                 waitForSignal();
                 return;
@@ -172,7 +178,8 @@
         });
     }
 
-    /// Leaves without cutting a call: callers are sent elsewhere first, what runs may end.
+    /// Withdraws this instance, so that callers use other instances, then lets running calls finish before the process
+    /// stops. Calls that still run after ForcedStopShare of the grace period are cut off.
     Awaitable<void> drain()
     {
         using Clock = std::chrono::steady_clock;
@@ -184,12 +191,12 @@
         m_registry.withdraw();
         m_front->announceClose();
         Timer timer(m_context.get_executor());
-        while (Clock::now() < start + EndShare * grace) {
+        while (Clock::now() < start + ForcedStopShare * grace) {
             timer.expires_after(std::chrono::milliseconds(50));
             co_await timer.async_wait(net::as_tuple(useAwaitable));
-            if (Clock::now() > start + CloseIdleAfter)
+            if (Clock::now() > start + IdleCloseDelay)
                 m_front->closeIdle();
-            if (Clock::now() > start + LingerAfterDrain && !m_front->busy())
+            if (Clock::now() > start + MinimumDrainTime && !m_front->busy())
                 break;
         }
         relay::DecisionLog::state("stop", { { "open_calls", m_node.reducer().openCalls() } });
@@ -222,8 +229,8 @@
 {
     const Arguments arguments = readArguments(argc, argv, "Usage: crocusmount-entry [options]\n",
         { { "settings", "FILE", "the platform's settings (default: the file that CROCUSMOUNT_NODE_FILE names)" },
-            { "without", "NAMES", "mechanisms to switch off for a measurement, comma-separated" },
-            { "check-config", "", "check the settings and end" } });
+            { "without", "NAMES", "comma-separated mechanisms to switch off for a measurement" },
+            { "check-config", "", "check the settings and exit" } });
     const char* variable = std::getenv(SettingsVariable);
     const std::string file = arguments.get("settings", variable ? variable : DefaultSettingsFile);
     if (!arguments.words.empty()) {
@@ -245,8 +252,8 @@
         return ExitOk;
     }
     std::signal(SIGPIPE, SIG_IGN);
-    relay::DecisionLog::setUp(settings->instanceName, LogLinesPerSecond);
-    // All of the process but its log runs on this thread, so Asio need not lock.
+    relay::DecisionLog::setUp(settings->instanceName, CallLogLinesPerSecond);
+    // Everything except the log runs on this thread, so Asio needs no locks.
     net::io_context context(BOOST_ASIO_CONCURRENCY_HINT_UNSAFE);
     EntryInstance instance(context, *settings, *without);
     if (const absl::Status status = instance.start(); !status.ok()) {
--- a/programs/crocusmount-load.cpp
+++ b/programs/crocusmount-load.cpp
@@ -1,4 +1,4 @@
-// Sends load to entry instances and checks what comes back.
+// Sends load to entry instances and checks the answers.
 
 #include "load/LoadReport.h"
 #include "load/LoadRun.h"
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// Opens connections on which nothing is sent.
+/// Opens connections that stay idle.
+/// @return the connections, or an error if the address is invalid or a connection fails
 absl::StatusOr<std::vector<std::unique_ptr<TcpStream>>> openIdle(
     net::io_context& context, const std::string& address, long count)
 {
@@ -38,9 +39,9 @@
 {
     const Arguments arguments = readArguments(argc, argv,
         "Usage: crocusmount-load EXPERIMENT [options]\n\n"
-        "Exit code 1 if an answer was lost, doubled or wrong.\n",
-        { { "out", "FILE", "write the result as JSON" }, { "output", "json|table", "what to print (table)" },
-            { "idle", "N", "hold so many idle connections to the first entry meanwhile" } });
+        "Exits with code 1 if an answer was lost, duplicated or wrong.\n",
+        { { "out", "FILE", "write the result as JSON" }, { "output", "json|table", "output format (default: table)" },
+            { "idle", "N", "idle connections to hold open to the first entry during the run" } });
     if (arguments.words.size() != 1) {
         std::cerr << "crocusmount-load: expected one experiment; see --help\n";
         return ExitUsage;
--- a/programs/crocusmount-replay.cpp
+++ b/programs/crocusmount-replay.cpp
@@ -1,4 +1,5 @@
-// Replays a log made with crocusmountd --record and checks that the effects are the same, byte for byte.
+// Replays a log written by crocusmountd --record and checks that the reducer produces the recorded effects, byte for
+// byte.
 
 #include "core/EventJson.h"
 #include "crocusmount/Reducer.h"
@@ -17,7 +18,9 @@
         { { "config", "FILE", "settings of the recorded daemon" } });
     const auto settings = readSettings(arguments.get("config"));
     if (!settings.ok() || arguments.words.size() != 1) {
-        std::cerr << (settings.ok() ? "expected one log" : std::string(settings.status().message())) << "\n";
+        std::cerr << (settings.ok() ? "crocusmount-replay: expected one log; see --help"
+                                    : std::string(settings.status().message()))
+                  << "\n";
         return ExitUsage;
     }
     ReducerOptions options = settings->core;
@@ -31,28 +34,28 @@
     options.self.incarnation = std::stoull(line.substr(header.size()));
     auto reducer = Reducer::make(options);
     Effects effects;
-    std::size_t next = 0;
-    std::size_t events = 0;
-    std::size_t different = 0;
+    std::size_t nextEffect = 0;
+    std::size_t eventCount = 0;
+    std::size_t differentEffects = 0;
     while (std::getline(log, line)) {
         if (line.compare(0, 2, "  ") == 0) {
-            const bool same = next < effects.size() && "  " + toJsonLine(effects[next]) == line;
-            different += same ? 0 : 1;
-            ++next;
+            const bool isSame = nextEffect < effects.size() && "  " + toJsonLine(effects[nextEffect]) == line;
+            differentEffects += isSame ? 0 : 1;
+            ++nextEffect;
             continue;
         }
-        different += next < effects.size() ? effects.size() - next : 0;
+        differentEffects += nextEffect < effects.size() ? effects.size() - nextEffect : 0;
         const auto event = eventFromJsonLine(line);
         if (!event.ok()) {
-            // A daemon that was killed leaves a last line unfinished.
-            std::cerr << "event " << events + 1 << ": " << event.status().message() << "\n";
+            // A killed daemon may leave the last line incomplete.
+            std::cerr << "event " << eventCount + 1 << ": " << event.status().message() << "\n";
             break;
         }
         effects.clear();
-        next = 0;
+        nextEffect = 0;
         (*reducer)->reduce(*event, effects);
-        ++events;
+        ++eventCount;
     }
-    std::cout << events << " events, " << different << " effects differ\n";
-    return different ? ExitFailed : ExitOk;
+    std::cout << eventCount << " events, " << differentEffects << " effects differ\n";
+    return differentEffects ? ExitFailed : ExitOk;
 }
--- a/programs/crocusmount-standin.cpp
+++ b/programs/crocusmount-standin.cpp
@@ -1,4 +1,4 @@
-// Stand-ins for what the product meets: engines, plain services, the platform's services.
+// Serves stand-ins for the systems that crocusmount calls: engines, plain services and the platform's services.
 
 #include "programs/CommandLine.h"
 #include "shell/HttpClient.h"
@@ -15,10 +15,11 @@
 
 using namespace crocusmount;
 
+/// @return the stand-in of this kind, or null if the kind is unknown
 std::unique_ptr<HttpHandler> makeHandler(net::io_context& context, const std::string& kind, const Arguments& arguments)
 {
     const auto number
-        = [&](const char* name, long otherwise) { return arguments.number(name, otherwise).value_or(otherwise); };
+        = [&](const char* name, long fallback) { return arguments.number(name, fallback).value_or(fallback); };
     if (kind == "engine") {
         BackendReport report;
         report.backend = BackendId(arguments.get("id"));
@@ -41,7 +42,8 @@
     return nullptr;
 }
 
-/// Sets faults by the way that everybody else would.
+/// Sets faults through POST /fault, as tests do. On an error, prints the error, sets the exit code and stops the
+/// process.
 Awaitable<void> setFaults(net::io_context& context, std::string address, std::string faults, int& exitCode)
 {
     HttpClient client(context);
@@ -67,13 +69,15 @@
         "KIND is engine, service, store, instances or weights. Faults are set with POST /fault (docs/testing.md).\n",
         { { "listen", "IP:PORT", "address" }, { "id", "ID", "engine: its id" }, { "model", "NAME", "engine: model" },
             { "begin", "N", "engine: first layer" }, { "end", "N", "engine: layer after the last" },
-            { "generation", "N", "engine: generation of what it holds" }, { "slots", "N", "engine: steps at once" },
-            { "step-us", "N", "engine: microseconds of one step" },
-            { "count", "N", "engine: serve so many, ids ID-0, ID-1, ..., on ports from --listen on" },
-            { "fault", "JSON", "set these faults at the start, as POST /fault would" },
-            { "unfenced", "", "engine: takes orders with old fencing numbers" },
-            { "delay-ms", "N", "service: time of one call" }, { "lag-ms", "N", "instances: lag of the list" },
-            { "layers-per-second", "N", "weights: rate" } });
+            { "generation", "N", "engine: generation of the layers held" },
+            { "slots", "N", "engine: steps that run concurrently" },
+            { "step-us", "N", "engine: duration of a step, in microseconds" },
+            { "count", "N", "engine: number of engines; ids ID-0, ID-1, ..., ports from --listen up" },
+            { "fault", "JSON", "faults to set at the start, as with POST /fault" },
+            { "unfenced", "", "engine: accept orders with old fencing numbers" },
+            { "delay-ms", "N", "service: duration of a call, in milliseconds" },
+            { "lag-ms", "N", "instances: lag of the list, in milliseconds" },
+            { "layers-per-second", "N", "weights: download rate" } });
     if (arguments.words.size() != 1 || !arguments.has("listen")) {
         std::cerr << "crocusmount-standin: expected KIND and --listen; see --help\n";
         return ExitUsage;
@@ -87,10 +91,10 @@
     std::vector<std::unique_ptr<HttpHandler>> handlers;
     std::vector<std::unique_ptr<HttpServer>> servers;
     for (long i = 0; i < count; ++i) {
-        Arguments own = arguments;
+        Arguments handlerArguments = arguments;
         if (count > 1)
-            own.options["id"] = arguments.get("id") + "-" + std::to_string(i);
-        handlers.push_back(makeHandler(context, arguments.words.front(), own));
+            handlerArguments.options["id"] = arguments.get("id") + "-" + std::to_string(i);
+        handlers.push_back(makeHandler(context, arguments.words.front(), handlerArguments));
         if (!handlers.back()) {
             std::cerr << "crocusmount-standin: unknown kind " << arguments.words.front() << "\n";
             return ExitUsage;
--- a/programs/crocusmount.cpp
+++ b/programs/crocusmount.cpp
@@ -1,4 +1,4 @@
-// The operators' and callers' command line.
+// Command-line client for operators and callers.
 
 #include "programs/CommandLine.h"
 #include "shell/CallStory.h"
@@ -26,17 +26,17 @@
 constexpr const char* Usage = R"(Usage: crocusmount COMMAND [words] [options]
 
 Commands for operators:
-  apply FILE                 put the objects of FILE in force, all or none
+  apply FILE                 apply the objects of FILE, all or none
   get [KIND[/ID]]            print configured objects (workspaces, pipelines, backends)
-  label KIND/ID KEY=VALUE... set labels; KEY- takes one away
-  select pipelines/ID KEY=VALUE...  set the pipeline's selector; KEY- takes one away
+  label KIND/ID KEY=VALUE... set labels; KEY- removes a label
+  select pipelines/ID KEY=VALUE...  set labels of the pipeline's selector; KEY- removes a label
   status                     print instances and backend servers; --watch, --wait REVISION
-  explain pipelines/ID       say which backend servers may serve a pipeline, and why the others may not
-  drain                      let the instance finish its streams and leave
-  settle                     find out how a write in doubt ended (--nonce, --base)
-  why CALL [FILE...]         print one call's life from the instances' log lines, in FILEs or on standard input
+  explain pipelines/ID       list the backend servers that may serve a pipeline, and why the others may not
+  drain                      let the instance finish its streams and stop
+  settle                     find out whether a write in doubt was applied (--nonce, --base)
+  why CALL [FILE...]         print the history of a call from instances' log lines, in FILEs or on standard input
   quarantine                 print the requests that are sent to no server (--entry: an instance's metrics address)
-  quarantine lift ID         have one of them sent to servers again
+  quarantine lift ID         allow a quarantined request to be sent to servers again
 Commands for callers:
   entries                    print the instances to use
   send PIPELINE PROMPT       send a completion and print the answer
@@ -44,12 +44,13 @@
 Exit codes: 0 done, 1 failed, 2 wrong usage, 3 conflict with another write, 4 write in doubt.
 )";
 
-/// One connection's worth of settings for all commands.
+/// Connection and output settings that all commands use.
 struct Client {
-    std::string entry;
-    std::string token;
-    bool json = false;
+    std::string entry; ///< ip:port of the instance
+    std::string token; ///< of an operator or a workspace
+    bool isJsonOutput = false;
 
+    /// Sends one request and waits for the answer, for at most 30 seconds.
     HttpAnswer call(http::verb verb, const std::string& target, const std::string& body = {},
         std::vector<std::pair<std::string, std::string>> headers = {}) const
     {
@@ -72,6 +73,7 @@
     }
 };
 
+/// @return the JSON object in the body of an answer, or an empty object if the body holds none
 json::object objectOf(const HttpAnswer& answer)
 {
     boost::system::error_code error;
@@ -79,6 +81,7 @@
     return !error && value.is_object() ? std::move(value.as_object()) : json::object();
 }
 
+/// @return a string member as it is, a member of another type as JSON, or an empty text if the member is missing
 std::string textOf(const json::object& object, const char* name)
 {
     const json::value* value = object.if_contains(name);
@@ -87,8 +90,8 @@
     return value->is_string() ? std::string(value->as_string()) : json::serialize(*value);
 }
 
-/// Prints what went wrong with a call.
-/// @return whether the call was answered with 200
+/// Prints the error to stderr unless the call was answered with status 200.
+/// @return whether the status is 200
 bool succeeded(const HttpAnswer& answer)
 {
     if (answer.status == 200)
@@ -102,6 +105,7 @@
     return false;
 }
 
+/// Prints one line per row, with columns as wide as their longest value.
 void printTable(const std::vector<std::string>& columns, const json::array& rows)
 {
     std::vector<std::size_t> widths;
@@ -122,15 +126,17 @@
     }
 }
 
-int reportApply(const Client& client, const HttpAnswer& answer)
+/// Prints the result of a configuration write.
+/// @return the exit code
+int printApplyResult(const Client& client, const HttpAnswer& answer)
 {
     const json::object body = objectOf(answer);
     const std::string result = textOf(body, "result");
     if (result.empty()) {
         succeeded(answer);
-        return answer.phase == CallPhase::Answered ? ExitFailed : ExitUnknown;
+        return answer.phase == CallPhase::Answered ? ExitFailed : ExitUnknownOutcome;
     }
-    if (client.json) {
+    if (client.isJsonOutput) {
         std::cout << answer.body << "\n";
     } else {
         std::cout << result << (body.contains("revision") ? " revision " + textOf(body, "revision") : "") << "\n";
@@ -147,9 +153,11 @@
         return ExitOk;
     if (result == "conflict")
         return ExitConflict;
-    return result == "unknown" ? ExitUnknown : ExitFailed;
+    return result == "unknown" ? ExitUnknownOutcome : ExitFailed;
 }
 
+/// Writes objects over a base revision, which --base overrides.
+/// @return the exit code
 int applyObjects(const Client& client, const Arguments& arguments, json::array objects, std::string base)
 {
     json::object body;
@@ -157,10 +165,12 @@
     if (arguments.has("dry-run"))
         body["dryRun"] = true;
     base = arguments.get("base", base);
-    return reportApply(
+    return printApplyResult(
         client, client.call(http::verb::post, "/admin/v1/apply", json::serialize(body), { { "If-Match", base } }));
 }
 
+/// Reads the configuration objects of a JSON file.
+/// @return a key and a value for each object, or an error that names the file and the place in it
 absl::StatusOr<json::array> readObjects(const std::string& file)
 {
     std::ifstream stream(file);
@@ -198,10 +208,10 @@
         std::cerr << objects.status().message() << "\n";
         return ExitUsage;
     }
-    const HttpAnswer seen = client.call(http::verb::get, "/admin/v1/configuration");
-    if (!succeeded(seen))
+    const HttpAnswer current = client.call(http::verb::get, "/admin/v1/configuration");
+    if (!succeeded(current))
         return ExitFailed;
-    return applyObjects(client, arguments, *std::move(objects), textOf(objectOf(seen), "revision"));
+    return applyObjects(client, arguments, *std::move(objects), textOf(objectOf(current), "revision"));
 }
 
 int get(const Client& client, const Arguments& arguments)
@@ -217,20 +227,22 @@
         if (key.compare(0, prefix.size(), prefix) == 0)
             rows.push_back(object);
     }
-    if (client.json)
+    if (client.isJsonOutput)
         std::cout << json::serialize(rows) << "\n";
     else
         printTable({ "key", "modified", "value" }, rows);
     return ExitOk;
 }
 
-/// Sets labels in one member of one object.
+/// Sets and removes labels of the configured object that the command line names.
+/// @param member  "labels" or "selector"
+/// @return the exit code
 int setLabels(const Client& client, const Arguments& arguments, const char* member)
 {
-    const HttpAnswer seen = client.call(http::verb::get, "/admin/v1/configuration");
-    if (!succeeded(seen))
+    const HttpAnswer current = client.call(http::verb::get, "/admin/v1/configuration");
+    if (!succeeded(current))
         return ExitFailed;
-    const json::object body = objectOf(seen);
+    const json::object body = objectOf(current);
     const std::string& key = arguments.words.at(1);
     for (const json::value& object : body.at("objects").as_array()) {
         if (textOf(object.as_object(), "key") != key)
@@ -258,13 +270,13 @@
     return ExitFailed;
 }
 
-/// @return whether every live instance has at least this revision in force
+/// @return whether every live instance has applied this revision or a later one
 bool inForceEverywhere(const json::object& status, std::int64_t revision)
 {
     for (const json::value& member : status.at("members").as_array()) {
         const std::string state = textOf(member.as_object(), "state");
-        const bool live = state == "alive" || state == "suspect";
-        if (live && member.at("revision").as_int64() < revision)
+        const bool isLive = state == "alive" || state == "suspect";
+        if (isLive && member.at("revision").as_int64() < revision)
             return false;
     }
     return true;
@@ -284,10 +296,10 @@
         if (!succeeded(answer))
             return ExitFailed;
         const json::object body = objectOf(answer);
-        const bool done = inForceEverywhere(body, *wait);
-        const bool again = arguments.has("watch") || (!done && std::chrono::steady_clock::now() < end);
-        if (!again || arguments.has("watch")) {
-            if (client.json) {
+        const bool isInForce = inForceEverywhere(body, *wait);
+        const bool shouldRepeat = arguments.has("watch") || (!isInForce && std::chrono::steady_clock::now() < end);
+        if (!shouldRepeat || arguments.has("watch")) {
+            if (client.isJsonOutput) {
                 std::cout << answer.body << "\n";
             } else {
                 printTable({ "instance", "dataCentre", "address", "state", "revision" }, body.at("members").as_array());
@@ -296,13 +308,15 @@
                     body.at("backends").as_array());
             }
         }
-        if (!again)
-            return done ? ExitOk : ExitFailed;
+        if (!shouldRepeat)
+            return isInForce ? ExitOk : ExitFailed;
         std::this_thread::sleep_for(std::chrono::milliseconds(arguments.has("watch") ? 1000 : 100));
     }
 }
 
-std::string whyNot(const json::object& pipeline, const json::object& server, const json::object* report)
+/// @param report  the server's last report, or null
+/// @return why a backend server may not serve a pipeline, or an empty text if it may
+std::string rejectionReason(const json::object& pipeline, const json::object& server, const json::object* report)
 {
     const json::object* labels = server.at("labels").if_object();
     for (const auto& [label, value] : pipeline.at("selector").as_object()) {
@@ -348,12 +362,12 @@
             if (textOf(backend.as_object(), "id") == key.substr(9))
                 report = backend.if_object();
         }
-        const std::string why = whyNot(*pipeline, object.at("value").as_object(), report);
+        const std::string why = rejectionReason(*pipeline, object.at("value").as_object(), report);
         rows.push_back({ { "backend", key.substr(9) }, { "serves", why.empty() ? "yes" : "no" },
             { "layers", report ? absl::StrCat(textOf(*report, "begin"), "-", textOf(*report, "end")) : "" },
             { "why", why.empty() ? "labels match, it answers and holds the model" : why } });
     }
-    if (client.json)
+    if (client.isJsonOutput)
         std::cout << json::serialize(rows) << "\n";
     else
         printTable({ "backend", "serves", "layers", "why" }, rows);
@@ -365,7 +379,7 @@
     const HttpAnswer answer = client.call(http::verb::get, "/v1/entries");
     if (!succeeded(answer))
         return ExitFailed;
-    if (client.json)
+    if (client.isJsonOutput)
         std::cout << answer.body << "\n";
     else
         printTable({ "instance", "address", "dataCentre" }, objectOf(answer).at("entries").as_array());
@@ -386,7 +400,7 @@
         std::cerr << "run: " << textOf(objectOf(answer), "run") << "\n";
         return ExitFailed;
     }
-    if (client.json)
+    if (client.isJsonOutput)
         std::cout << answer.body << "\n";
     else
         std::cout << textOf(objectOf(answer).at("choices").as_array().at(0).as_object(), "text") << "\n";
@@ -397,7 +411,7 @@
 {
     const HttpAnswer answer = client.call(http::verb::get,
         absl::StrCat("/admin/v1/settle?nonce=", arguments.get("nonce"), "&base=", arguments.get("base")));
-    return reportApply(client, answer);
+    return printApplyResult(client, answer);
 }
 
 int quarantine(const Client& client)
@@ -405,7 +419,7 @@
     const HttpAnswer answer = client.call(http::verb::get, "/quarantine");
     if (!succeeded(answer))
         return ExitFailed;
-    if (client.json) {
+    if (client.isJsonOutput) {
         std::cout << answer.body << "\n";
         return ExitOk;
     }
@@ -418,12 +432,13 @@
     return ExitOk;
 }
 
-void takeLines(std::istream& input, CallStory& story)
+void readLogLines(std::istream& input, CallStory& story)
 {
     for (std::string line; std::getline(input, line);)
         story.take(line);
 }
 
+/// Prints the history of one call from log lines.
 int why(const Arguments& arguments, bool asJson)
 {
     CallStory story(arguments.words.at(1));
@@ -433,12 +448,12 @@
             std::cerr << "crocusmount: " << arguments.words[i] << ": cannot be read\n";
             return ExitFailed;
         }
-        takeLines(file, story);
+        readLogLines(file, story);
     }
     if (arguments.words.size() == 2)
-        takeLines(std::cin, story);
+        readLogLines(std::cin, story);
     if (story.unreadable())
-        std::cerr << "crocusmount: " << story.unreadable() << " lines are no log lines\n";
+        std::cerr << "crocusmount: " << story.unreadable() << " lines are not valid log lines\n";
     if (!story.isKnown()) {
         std::cerr << "crocusmount: no line names call " << arguments.words.at(1) << "\n";
         return ExitFailed;
@@ -452,7 +467,9 @@
     return ExitOk;
 }
 
-int run(const Client& client, const Arguments& arguments)
+/// Runs the command that the first word names.
+/// @return the exit code
+int runCommand(const Client& client, const Arguments& arguments)
 {
     const std::string command = arguments.words.empty() ? "" : arguments.words.front();
     const std::size_t words = arguments.words.size();
@@ -481,10 +498,11 @@
         return entries(client);
     if (command == "send" && words == 3)
         return send(client, arguments);
-    std::cerr << "crocusmount: expected a command and its words; see --help\n";
+    std::cerr << "crocusmount: unknown command or wrong number of arguments; see --help\n";
     return ExitUsage;
 }
 
+/// @return the value of an environment variable, or an empty text if it is not set
 std::string environment(const char* name)
 {
     const char* value = std::getenv(name);
@@ -496,24 +514,27 @@
 int main(int argc, char** argv)
 {
     const Arguments arguments = readArguments(argc, argv, Usage,
-        { { "entry", "IP:PORT", "an instance (or CROCUSMOUNT_ENTRY)" },
-            { "token", "TOKEN", "of an operator or a workspace (or CROCUSMOUNT_TOKEN)" },
-            { "output", "json|table", "form of the output" }, { "base", "REVISION", "apply over this revision" },
-            { "dry-run", "", "apply: check only" }, { "nonce", "NONCE", "settle: the write's name" },
-            { "watch", "", "status: again every second" }, { "wait", "REVISION", "status: until it is in force" },
-            { "timeout", "SECONDS", "status --wait: at most (30)" }, { "max-tokens", "N", "send: length" },
+        { { "entry", "IP:PORT", "address of an instance (default: CROCUSMOUNT_ENTRY)" },
+            { "token", "TOKEN", "token of an operator or a workspace (default: CROCUSMOUNT_TOKEN)" },
+            { "output", "json|table", "output format (default: table)" },
+            { "base", "REVISION", "apply: revision that the write is based on" },
+            { "dry-run", "", "apply: check the objects without writing them" },
+            { "nonce", "NONCE", "settle: nonce of the write" }, { "watch", "", "status: repeat every second" },
+            { "wait", "REVISION", "status: wait until live instances have applied it" },
+            { "timeout", "SECONDS", "status --wait: longest wait (default: 30)" },
+            { "max-tokens", "N", "send: maximum number of tokens in the answer (default: 16)" },
             { "key", "KEY", "send: idempotency key" }, { "once", "", "send: run at most once (needs --key)" } });
     Client client;
     client.entry = arguments.get("entry", environment("CROCUSMOUNT_ENTRY"));
     client.token = arguments.get("token", environment("CROCUSMOUNT_TOKEN"));
     const std::string output = arguments.get("output", "table");
-    client.json = output == "json";
-    const bool isWhy = arguments.words.size() >= 2 && arguments.words.front() == "why";
-    if (isWhy && (output == "json" || output == "table"))
-        return why(arguments, client.json);
+    client.isJsonOutput = output == "json";
+    const bool isWhyCommand = arguments.words.size() >= 2 && arguments.words.front() == "why";
+    if (isWhyCommand && (output == "json" || output == "table"))
+        return why(arguments, client.isJsonOutput);
     if (client.entry.empty() || (output != "json" && output != "table")) {
         std::cerr << "crocusmount: expected --entry IP:PORT and --output json or table; see --help\n";
         return ExitUsage;
     }
-    return run(client, arguments);
+    return runCommand(client, arguments);
 }
--- a/programs/crocusmountd.cpp
+++ b/programs/crocusmountd.cpp
@@ -1,4 +1,4 @@
-// The daemon: one entry instance.
+// The daemon of one entry instance.
 
 #include "programs/CommandLine.h"
 #include "shell/CallerApi.h"
@@ -17,10 +17,10 @@
 
 using namespace crocusmount;
 
-/// Sends each request to the interface that its path names.
-class Front final : public HttpHandler {
+/// Answers the metrics and health paths and passes each other request to the operator or caller interface by its path.
+class RequestDispatcher final : public HttpHandler {
 public:
-    Front(net::io_context& context, Node& node)
+    RequestDispatcher(net::io_context& context, Node& node)
         : m_node(node)
         , m_callers(context, node)
         , m_operators(node)
@@ -57,6 +57,7 @@
     OperatorApi m_operators;
 };
 
+/// Logs asynchronously to stderr. If the queue of 8192 lines is full, the oldest line is dropped.
 void setUpLog(const Settings& settings)
 {
     spdlog::init_thread_pool(8192, 1);
@@ -71,7 +72,7 @@
     spdlog::set_default_logger(logger);
 }
 
-/// Lets the last answers be written before the process ends.
+/// Stops the event loop once the server has written the last answers.
 Awaitable<void> stopWhenIdle(net::io_context& context, const HttpServer& server)
 {
     Timer timer(context.get_executor());
@@ -82,6 +83,7 @@
     context.stop();
 }
 
+/// Raises the soft limit on open file descriptors to the hard limit.
 void raiseDescriptorLimit()
 {
     rlimit limit {};
@@ -97,8 +99,8 @@
 {
     const Arguments arguments = readArguments(argc, argv, "Usage: crocusmountd --config FILE [options]\n",
         { { "config", "FILE", "settings, JSON (docs/settings.md)" },
-            { "check-config", "FILE", "check settings and end" },
-            { "record", "FILE", "log every event and effect, for crocusmount-replay" } });
+            { "check-config", "FILE", "check the settings and exit" },
+            { "record", "FILE", "record every event and effect for crocusmount-replay" } });
     const std::string file = arguments.get("check-config", arguments.get("config"));
     if (file.empty() || !arguments.words.empty()) {
         std::cerr << "crocusmountd: expected --config FILE; see --help\n";
@@ -115,15 +117,15 @@
     }
     raiseDescriptorLimit();
     setUpLog(*settings);
-    // All of the daemon runs on this thread, so Asio need not lock.
+    // Everything except the log runs on this thread, so Asio needs no locks.
     net::io_context context(BOOST_ASIO_CONCURRENCY_HINT_UNSAFE);
     const auto node = Node::make(context, *settings, arguments.get("record"));
     if (!node.ok()) {
         std::cerr << "crocusmountd: " << node.status().message() << "\n";
         return ExitFailed;
     }
-    Front front(context, **node);
-    const auto server = HttpServer::make(context, settings->listen, settings->http, front);
+    RequestDispatcher dispatcher(context, **node);
+    const auto server = HttpServer::make(context, settings->listen, settings->http, dispatcher);
     if (!server.ok()) {
         std::cerr << "crocusmountd: " << server.status().message() << "\n";
         return ExitFailed;
--- a/standins/EngineStandin.cpp
+++ b/standins/EngineStandin.cpp
@@ -13,7 +13,9 @@
 
     namespace json = boost::json;
 
-    constexpr std::chrono::seconds PlaceLifetime { 10 };
+    /// An unused reservation counts as a running attempt for this time.
+    constexpr std::chrono::seconds ReservationLifetime { 10 };
+    /// Timeout of a call to the next stage.
     constexpr std::chrono::milliseconds StageTimeout { 1500 };
 
     HttpReply jsonReply(unsigned status, const json::object& body)
@@ -24,7 +26,9 @@
         return reply;
     }
 
-    bool useUp(std::uint64_t& count)
+    /// Decrements a count of faults.
+    /// @return whether the count was above zero
+    bool consumeCount(std::uint64_t& count)
     {
         if (!count)
             return false;
@@ -32,20 +36,21 @@
         return true;
     }
 
-    std::string errorFrameOf(const std::string& attempt, const std::string& culprit)
+    std::string makeErrorFrame(const std::string& attempt, const std::string& culprit)
     {
         const json::object frame { { "attempt", attempt },
             { "error", { { "reason", "stage_failed" }, { "culprit", culprit } } } };
         return absl::StrCat("data: ", json::serialize(frame), "\n\n");
     }
 
-    std::string unreachable(const std::string& culprit)
+    /// @return the refusal of an attempt whose next stage gave no usable answer, as JSON
+    std::string unreachableReply(const std::string& culprit)
     {
         return json::serialize(
             json::object { { "run", "not_run" }, { "reason", "stage_unreachable" }, { "culprit", culprit } });
     }
 
-    std::string endFrameOf(const std::string& attempt, std::uint32_t count)
+    std::string makeEndFrame(const std::string& attempt, std::uint32_t count)
     {
         const json::object frame { { "attempt", attempt }, { "end", true }, { "count", count } };
         return absl::StrCat("data: ", json::serialize(frame), "\n\n");
@@ -53,8 +58,8 @@
 
     const json::object& hopAt(const json::array& hops, std::uint32_t index) { return hops.at(index).as_object(); }
 
-    /// @return a call to the stage that a hop names
-    HttpCall callTo(const json::object& hop, const char* target, const json::object& body)
+    /// @return a request to the stage of a hop
+    HttpCall makeCall(const json::object& hop, const char* target, const json::object& body)
     {
         HttpCall call;
         call.address = textOf(hop, "address");
@@ -67,11 +72,11 @@
 
 } // namespace
 
-EngineStandin::EngineStandin(net::io_context& context, BackendReport report, bool fenced)
+EngineStandin::EngineStandin(net::io_context& context, BackendReport report, bool checksFence)
     : m_context(context)
     , m_client(context)
     , m_report(std::move(report))
-    , m_fenced(fenced)
+    , m_checksFence(checksFence)
 {
 }
 
@@ -128,78 +133,79 @@
 Awaitable<void> EngineStandin::useSlot()
 {
     if (m_busySlots >= m_report.slots) {
-        auto turn = std::make_shared<Timer>(m_context.get_executor());
-        turn->expires_at(std::chrono::steady_clock::time_point::max());
-        m_slotQueue.push_back(turn);
-        co_await turn->async_wait(net::as_tuple(useAwaitable));
+        auto slotWait = std::make_shared<Timer>(m_context.get_executor());
+        slotWait->expires_at(std::chrono::steady_clock::time_point::max());
+        m_slotWaiters.push_back(slotWait);
+        co_await slotWait->async_wait(net::as_tuple(useAwaitable));
     } else {
         ++m_busySlots;
     }
     const double micros = static_cast<double>(m_report.stepMicros) * m_faults.slowFactor;
     co_await sleep(std::chrono::microseconds(static_cast<std::int64_t>(micros)));
-    if (m_slotQueue.empty()) {
+    if (m_slotWaiters.empty()) {
         --m_busySlots;
         co_return;
     }
-    // The slot passes to the next step in line.
-    m_slotQueue.front()->cancel();
-    m_slotQueue.pop_front();
+    // The slot stays busy and passes to the step that has waited longest.
+    m_slotWaiters.front()->cancel();
+    m_slotWaiters.pop_front();
 }
 
-std::string EngineStandin::refusalOf(const json::object& hop)
+std::string EngineStandin::checkHop(const json::object& hop)
 {
     const auto refusal = [&](const char* reason) {
         return json::serialize(
             json::object { { "run", "not_run" }, { "reason", reason }, { "culprit", m_report.backend.value() } });
     };
-    const bool rightRange
+    const bool hasRightRange
         = numberOf(hop, "begin") == m_report.layers.begin && numberOf(hop, "end") == m_report.layers.end;
     if (textOf(hop, "backend") != m_report.backend.value())
         return refusal("not_this_backend");
-    if (!rightRange || numberOf(hop, "generation") != static_cast<std::int64_t>(m_report.generation.value()))
+    if (!hasRightRange || numberOf(hop, "generation") != static_cast<std::int64_t>(m_report.generation.value()))
         return refusal("other_holding");
     if (m_report.leaving)
         return refusal("leaving");
-    if (useUp(m_faults.refuse))
+    if (consumeCount(m_faults.refuse))
         return refusal("busy");
     return {};
 }
 
 Awaitable<std::string> EngineStandin::prepare(std::string attempt, json::array hops, std::uint32_t hop)
 {
-    std::string refusal = hop < hops.size() ? refusalOf(hopAt(hops, hop)) : R"({"run":"not_run","reason":"no_hop"})";
+    std::string refusal = hop < hops.size() ? checkHop(hopAt(hops, hop)) : R"({"run":"not_run","reason":"no_hop"})";
     if (!refusal.empty())
         co_return refusal;
     if (hop + 1 < hops.size()) {
         json::object body { { "attempt", attempt }, { "hop", hop + 1 } };
         body["hops"] = hops;
-        HttpCall call = callTo(hopAt(hops, hop + 1), "/v1/prepare", body);
+        HttpCall call = makeCall(hopAt(hops, hop + 1), "/v1/prepare", body);
         const HttpAnswer answer = co_await m_client.call(std::move(call));
         if (answer.status != 200) {
-            // Nothing is run before all stages agreed, so this is "not run" whatever became of the call.
-            refusal = answer.status == 409 ? answer.body : unreachable(textOf(hopAt(hops, hop + 1), "backend"));
+            // No stage runs the attempt before all stages have agreed, so the refusal is "not run" even if the call
+            // timed out.
+            refusal = answer.status == 409 ? answer.body : unreachableReply(textOf(hopAt(hops, hop + 1), "backend"));
             co_return refusal;
         }
     }
-    m_places[attempt] = std::chrono::steady_clock::now();
+    m_reservations[attempt] = std::chrono::steady_clock::now();
     co_return std::string();
 }
 
 Awaitable<void> EngineStandin::finish(std::string attempt, json::array hops, std::uint32_t hop)
 {
-    m_places.erase(attempt);
+    m_reservations.erase(attempt);
     if (hop + 1 >= hops.size())
         co_return;
     json::object body { { "attempt", attempt }, { "hop", hop + 1 } };
     body["hops"] = hops;
-    HttpCall call = callTo(hopAt(hops, hop + 1), "/v1/finish", body);
+    HttpCall call = makeCall(hopAt(hops, hop + 1), "/v1/finish", body);
     co_await m_client.call(std::move(call));
 }
 
 Awaitable<EngineStandin::Step> EngineStandin::runStep(
     std::shared_ptr<Stream> stream, std::uint32_t index, std::uint32_t hop)
 {
-    m_places[stream->attempt] = std::chrono::steady_clock::now();
+    m_reservations[stream->attempt] = std::chrono::steady_clock::now();
     co_await useSlot();
     const std::string entry = traceEntry(m_report.backend, m_report.layers, m_report.generation);
     Step step;
@@ -214,12 +220,12 @@
     json::object body { { "attempt", stream->attempt }, { "prompt", stream->prompt }, { "index", index },
         { "hop", hop + 1 } };
     body["hops"] = stream->hops;
-    HttpCall call = callTo(hopAt(stream->hops, hop + 1), "/v1/forward", body);
+    HttpCall call = makeCall(hopAt(stream->hops, hop + 1), "/v1/forward", body);
     const HttpAnswer answer = co_await m_client.call(std::move(call));
     const json::object reply = parseObject(answer.body);
     if (answer.status != 200) {
-        const std::string named = textOf(reply, "culprit");
-        step.culprit = named.empty() ? textOf(hopAt(stream->hops, hop + 1), "backend") : named;
+        const std::string reportedCulprit = textOf(reply, "culprit");
+        step.culprit = reportedCulprit.empty() ? textOf(hopAt(stream->hops, hop + 1), "backend") : reportedCulprit;
         co_return step;
     }
     step.ok = true;
@@ -238,8 +244,9 @@
     stream->hops = hops && hops->is_array() ? hops->as_array() : json::array();
     const auto hop = static_cast<std::uint32_t>(numberOf(body, "hop"));
     HttpReply reply;
-    const std::string refusal
-        = hop < stream->hops.size() && m_places.contains(stream->attempt) ? std::string() : "{\"run\":\"not_run\"}";
+    const std::string refusal = hop < stream->hops.size() && m_reservations.contains(stream->attempt)
+        ? std::string()
+        : "{\"run\":\"not_run\"}";
     if (!refusal.empty()) {
         reply.status = 409;
         reply.body
@@ -255,47 +262,47 @@
     co_await exchange.respond(std::move(reply));
 }
 
-std::string EngineStandin::frameOf(const Stream& stream, std::uint32_t index, const Step& step)
+std::string EngineStandin::makeTokenFrame(const Stream& stream, std::uint32_t index, const Step& step)
 {
     json::object frame { { "attempt", stream.attempt }, { "index", index }, { "text", step.text },
         { "trace", step.trace } };
-    if (useUp(m_faults.wrongTrace))
+    if (consumeCount(m_faults.wrongTrace))
         frame["trace"] = absl::StrCat(step.trace, "x");
     std::string text = absl::StrCat("data: ", json::serialize(frame), "\n\n");
-    if (useUp(m_faults.duplicate))
+    if (consumeCount(m_faults.duplicate))
         text += text;
-    if (useUp(m_faults.cross)) {
+    if (consumeCount(m_faults.cross)) {
         frame["attempt"] = stream.attempt + "9";
         frame["text"] = "crossed ";
         text = absl::StrCat("data: ", json::serialize(frame), "\n\n", text);
     }
-    if (useUp(m_faults.gap))
+    if (consumeCount(m_faults.gap))
         text.clear();
     return text;
 }
 
 Awaitable<void> EngineStandin::sendTokens(HttpExchange& exchange, std::shared_ptr<Stream> stream)
 {
-    for (std::uint32_t index = stream->next; index < stream->maxTokens && !stream->cancelled; ++index) {
+    for (std::uint32_t index = stream->nextIndex; index < stream->maxTokens && !stream->cancelled; ++index) {
         const Step step = co_await runStep(stream, index, 0);
         if (stream->cancelled)
             co_return;
         if (!step.ok) {
-            std::string frame = errorFrameOf(stream->attempt, step.culprit);
+            std::string frame = makeErrorFrame(stream->attempt, step.culprit);
             co_await exchange.writeChunk(std::move(frame));
             co_return;
         }
-        ++m_tokens;
-        if (m_faults.dieAfterTokens && m_tokens >= m_faults.dieAfterTokens)
+        ++m_tokensComputed;
+        if (m_faults.dieAfterTokens && m_tokensComputed >= m_faults.dieAfterTokens)
             std::_Exit(1);
-        if (!co_await exchange.writeChunk(frameOf(*stream, index, step)))
+        if (!co_await exchange.writeChunk(makeTokenFrame(*stream, index, step)))
             co_return;
-        if (useUp(m_faults.truncate))
+        if (consumeCount(m_faults.truncate))
             co_return;
     }
     if (stream->cancelled)
         co_return;
-    std::string frame = endFrameOf(stream->attempt, stream->maxTokens);
+    std::string frame = makeEndFrame(stream->attempt, stream->maxTokens);
     co_await exchange.writeChunk(std::move(frame));
 }
 
@@ -309,7 +316,7 @@
     const json::value* hops = body.if_contains("hops");
     stream->hops = hops && hops->is_array() ? hops->as_array() : json::array();
     const json::value* emitted = body.if_contains("emitted");
-    stream->next = emitted && emitted->is_array() ? static_cast<std::uint32_t>(emitted->as_array().size()) : 0;
+    stream->nextIndex = emitted && emitted->is_array() ? static_cast<std::uint32_t>(emitted->as_array().size()) : 0;
     exchange.setOnPeerClosed([stream] { stream->cancelled = true; });
     const std::string refusal = co_await prepare(stream->attempt, stream->hops, 0);
     if (!refusal.empty()) {
@@ -320,7 +327,7 @@
         co_return;
     }
     if (!stream->cancelled) {
-        ++m_ledger[stream->prompt];
+        ++m_runsByPrompt[stream->prompt];
         if (co_await exchange.beginStream("text/event-stream"))
             co_await sendTokens(exchange, stream);
     }
@@ -332,21 +339,21 @@
 {
     const auto now = std::chrono::steady_clock::now();
     std::int64_t running = 0;
-    for (const auto& [attempt, used] : m_places)
-        running += now - used < PlaceLifetime ? 1 : 0;
+    for (const auto& [attempt, lastUsed] : m_reservations)
+        running += now - lastUsed < ReservationLifetime ? 1 : 0;
     return jsonReply(200,
         { { "backend", m_report.backend.value() }, { "model", m_report.model }, { "begin", m_report.layers.begin },
             { "end", m_report.layers.end }, { "generation", m_report.generation.value() }, { "slots", m_report.slots },
             { "stepMicros", m_report.stepMicros }, { "running", running }, { "leaving", m_report.leaving },
-            { "tokens", m_tokens } });
+            { "tokens", m_tokensComputed } });
 }
 
 HttpReply EngineStandin::order(const json::object& body)
 {
     const std::int64_t fence = numberOf(body, "fence");
-    if (m_fenced && fence < m_fence)
-        return jsonReply(409, { { "run", "not_run" }, { "reason", "old_fence" }, { "fence", m_fence } });
-    m_fence = std::max(m_fence, fence);
+    if (m_checksFence && fence < m_highestFence)
+        return jsonReply(409, { { "run", "not_run" }, { "reason", "old_fence" }, { "fence", m_highestFence } });
+    m_highestFence = std::max(m_highestFence, fence);
     m_report.layers
         = { static_cast<std::uint32_t>(numberOf(body, "begin")), static_cast<std::uint32_t>(numberOf(body, "end")) };
     m_report.generation = Generation(m_report.generation.value() + 1);
@@ -386,7 +393,7 @@
 HttpReply EngineStandin::ledger() const
 {
     json::object prompts;
-    for (const auto& [prompt, count] : m_ledger)
+    for (const auto& [prompt, count] : m_runsByPrompt)
         prompts[prompt] = count;
     json::object body;
     body["prompts"] = std::move(prompts);
--- a/standins/InstanceListStandin.h
+++ b/standins/InstanceListStandin.h
@@ -6,7 +6,8 @@
 
 namespace crocusmount {
 
-/// The platform's list of instances: shows what was last set, only after a lag.
+/// Stands in for the platform's list of instances. PUT /v1/instances sets the list, and GET shows the new list only
+/// after a lag from the last change.
 class InstanceListStandin final : public HttpHandler {
 public:
     explicit InstanceListStandin(std::chrono::milliseconds lag);
@@ -15,9 +16,9 @@
     Awaitable<void> onExchange(HttpExchange&) override;
 
     std::chrono::milliseconds m_lag;
-    std::string m_shown = R"({"instances":[]})";
-    std::string m_next = m_shown;
-    std::chrono::steady_clock::time_point m_changed;
+    std::string m_visibleList = R"({"instances":[]})"; ///< answer to GET
+    std::string m_latestList = m_visibleList; ///< set by the last PUT
+    std::chrono::steady_clock::time_point m_changedAt; ///< time of the last PUT
 };
 
 } // namespace crocusmount
--- a/standins/ServiceStandin.cpp
+++ b/standins/ServiceStandin.cpp
@@ -20,7 +20,7 @@
         m_loseReplies = static_cast<std::uint64_t>(body.at("loseReplies").as_int64());
     } else if (path == "/v1/ledger") {
         boost::json::object prompts;
-        for (const auto& [body, count] : m_ledger)
+        for (const auto& [body, count] : m_callsByBody)
             prompts[body] = count;
         boost::json::object out;
         out["prompts"] = std::move(prompts);
@@ -29,7 +29,7 @@
         Timer timer(m_context.get_executor());
         timer.expires_after(m_delay);
         co_await timer.async_wait(net::as_tuple(useAwaitable));
-        ++m_ledger[exchange.request().body()];
+        ++m_callsByBody[exchange.request().body()];
         if (m_loseReplies) {
             --m_loseReplies;
             co_return;
--- a/standins/ServiceStandin.h
+++ b/standins/ServiceStandin.h
@@ -7,9 +7,10 @@
 
 namespace crocusmount {
 
-/// A plain service: echoes each call's body and counts the calls by body.
+/// Stands in for a plain service: echoes the body of each call and counts the calls by body.
 class ServiceStandin final : public HttpHandler {
 public:
+    /// @param delay  duration of a call
     ServiceStandin(net::io_context&, std::chrono::milliseconds delay);
 
 private:
@@ -17,8 +18,8 @@
 
     net::io_context& m_context;
     std::chrono::milliseconds m_delay;
-    std::map<std::string, std::uint64_t> m_ledger;
-    std::uint64_t m_loseReplies = 0;
+    std::map<std::string, std::uint64_t> m_callsByBody;
+    std::uint64_t m_loseReplies = 0; ///< calls to count and leave unanswered
 };
 
 } // namespace crocusmount
--- a/standins/StoreStandin.cpp
+++ b/standins/StoreStandin.cpp
@@ -11,7 +11,7 @@
 
     namespace json = boost::json;
 
-    std::string encoded(const std::string& text) { return absl::Base64Escape(text); }
+    std::string encodeBase64(const std::string& text) { return absl::Base64Escape(text); }
 
     HttpReply jsonReply(unsigned status, const json::object& body)
     {
@@ -21,6 +21,7 @@
         return reply;
     }
 
+    /// @return whether a key lies in [begin, end), or equals begin if end is empty
     bool inRange(const std::string& key, const std::string& begin, const std::string& end)
     {
         return end.empty() ? key == begin : key >= begin && key < end;
@@ -53,16 +54,16 @@
         co_await timer.async_wait(net::as_tuple(useAwaitable));
     }
     if (path == "/v3/watch") {
-        ++m_watches;
+        ++m_watchCalls;
         const json::value* request = body.if_contains("create_request");
-        const json::object wanted = request && request->is_object() ? request->as_object() : json::object();
-        co_await watch(exchange, wanted);
+        const json::object createRequest = request && request->is_object() ? request->as_object() : json::object();
+        co_await watch(exchange, createRequest);
         co_return;
     }
     if (path == "/v3/kv/range") {
         reply = range(body);
     } else if (path == "/v3/kv/txn") {
-        if (!admitWrite()) {
+        if (!consumeWriteQuota()) {
             reply = jsonReply(429, {});
         } else if (m_faults.dropWrites) {
             --m_faults.dropWrites;
@@ -80,18 +81,18 @@
     co_await exchange.respond(std::move(reply));
 }
 
-bool StoreStandin::admitWrite()
+bool StoreStandin::consumeWriteQuota()
 {
     const auto now = std::chrono::steady_clock::now();
-    if (now - m_second >= std::chrono::seconds(1)) {
-        m_second = now;
-        m_writesThisSecond = 0;
+    if (now - m_windowStart >= std::chrono::seconds(1)) {
+        m_windowStart = now;
+        m_writesInWindow = 0;
     }
-    if (m_faults.writesPerSecond && m_writesThisSecond >= m_faults.writesPerSecond) {
-        ++m_refused;
+    if (m_faults.writesPerSecond && m_writesInWindow >= m_faults.writesPerSecond) {
+        ++m_refusedWrites;
         return false;
     }
-    ++m_writesThisSecond;
+    ++m_writesInWindow;
     return true;
 }
 
@@ -102,7 +103,7 @@
     const std::string end = fromBase64(request, "range_end");
     json::array entries;
     for (auto next = m_values.lower_bound(begin); next != m_values.end() && inRange(next->first, begin, end); ++next) {
-        entries.push_back({ { "key", encoded(next->first) }, { "value", encoded(next->second.value) },
+        entries.push_back({ { "key", encodeBase64(next->first) }, { "value", encodeBase64(next->second.value) },
             { "mod_revision", std::to_string(next->second.modRevision) },
             { "create_revision", std::to_string(next->second.createRevision) },
             { "version", std::to_string(next->second.version) } });
@@ -113,7 +114,7 @@
     return jsonReply(200, body);
 }
 
-bool StoreStandin::holds(const json::object& compare) const
+bool StoreStandin::compareSucceeds(const json::object& compare) const
 {
     const auto found = m_values.find(fromBase64(compare, "key"));
     const std::int64_t actual = found == m_values.end() ? 0 : found->second.modRevision;
@@ -150,7 +151,7 @@
     bool succeeded = true;
     if (const json::value* compares = request.if_contains("compare")) {
         for (const json::value& compare : compares->as_array())
-            succeeded = succeeded && holds(compare.as_object());
+            succeeded = succeeded && compareSucceeds(compare.as_object());
     }
     const json::value* operations = request.if_contains(succeeded ? "success" : "failure");
     if (operations && !operations->as_array().empty()) {
@@ -165,7 +166,7 @@
 void StoreStandin::wakeWatchers()
 {
     for (const auto& watcher : m_watchers)
-        watcher->wake->cancel();
+        watcher->wakeTimer->cancel();
 }
 
 Awaitable<void> StoreStandin::watch(HttpExchange& exchange, const json::object& request)
@@ -173,38 +174,38 @@
     auto watcher = std::make_shared<Watcher>();
     watcher->begin = fromBase64(request, "key");
     watcher->end = fromBase64(request, "range_end");
-    watcher->next = std::max<std::int64_t>(1, numberOf(request, "start_revision"));
-    watcher->wake = std::make_shared<Timer>(m_context.get_executor());
+    watcher->nextRevision = std::max<std::int64_t>(1, numberOf(request, "start_revision"));
+    watcher->wakeTimer = std::make_shared<Timer>(m_context.get_executor());
     m_watchers.push_back(watcher);
     exchange.setOnPeerClosed([watcher] {
         watcher->closed = true;
-        watcher->wake->cancel();
+        watcher->wakeTimer->cancel();
     });
     bool open = co_await exchange.beginStream("application/json");
     while (open && !watcher->closed && !m_faults.down) {
         json::object result { { "header", { { "revision", std::to_string(m_revision) } } } };
         json::array events;
-        if (watcher->next <= m_compacted)
-            result["compact_revision"] = std::to_string(m_compacted);
+        if (watcher->nextRevision <= m_compactedRevision)
+            result["compact_revision"] = std::to_string(m_compactedRevision);
         for (const Change& change : m_changes) {
-            if (change.revision < watcher->next || !inRange(change.key, watcher->begin, watcher->end))
+            if (change.revision < watcher->nextRevision || !inRange(change.key, watcher->begin, watcher->end))
                 continue;
             events.push_back({ { "type", change.deleted ? "DELETE" : "PUT" },
                 { "kv",
-                    { { "key", encoded(change.key) }, { "value", encoded(change.value) },
+                    { { "key", encodeBase64(change.key) }, { "value", encodeBase64(change.value) },
                         { "mod_revision", std::to_string(change.revision) } } } });
         }
-        watcher->next = m_revision + 1;
-        const bool tell = !events.empty() || result.contains("compact_revision");
+        watcher->nextRevision = m_revision + 1;
+        const bool shouldSend = !events.empty() || result.contains("compact_revision");
         result["events"] = std::move(events);
         json::object message;
         message["result"] = std::move(result);
         std::string line = json::serialize(message) + "\n";
-        if (tell)
+        if (shouldSend)
             open = co_await exchange.writeChunk(std::move(line));
-        if (watcher->next > m_revision) {
-            watcher->wake->expires_at(std::chrono::steady_clock::time_point::max());
-            co_await watcher->wake->async_wait(net::as_tuple(useAwaitable));
+        if (watcher->nextRevision > m_revision) {
+            watcher->wakeTimer->expires_at(std::chrono::steady_clock::time_point::max());
+            co_await watcher->wakeTimer->async_wait(net::as_tuple(useAwaitable));
         }
     }
     m_watchers.remove(watcher);
@@ -225,7 +226,7 @@
         else if (name == "writesPerSecond" && value.is_int64())
             m_faults.writesPerSecond = value.as_int64();
         else if (name == "compact" && value.is_bool()) {
-            m_compacted = m_revision;
+            m_compactedRevision = m_revision;
             m_changes.clear();
         } else
             return jsonReply(400, { { "detail", "unknown fault or wrong value: " + name } });
@@ -237,8 +238,8 @@
 HttpReply StoreStandin::stats() const
 {
     return jsonReply(200,
-        { { "revision", m_revision }, { "reads", m_reads }, { "writes", m_writes }, { "watches", m_watches },
-            { "waiting", m_watchers.size() }, { "refused", m_refused }, { "keys", m_values.size() } });
+        { { "revision", m_revision }, { "reads", m_reads }, { "writes", m_writes }, { "watches", m_watchCalls },
+            { "waiting", m_watchers.size() }, { "refused", m_refusedWrites }, { "keys", m_values.size() } });
 }
 
 } // namespace crocusmount
--- a/standins/WeightStoreStandin.cpp
+++ b/standins/WeightStoreStandin.cpp
@@ -21,11 +21,11 @@
         co_await exchange.respond(std::move(reply));
         co_return;
     }
-    const std::chrono::duration<double> span(layers / m_layersPerSecond);
-    m_freeAt = std::max(m_freeAt, std::chrono::steady_clock::now())
-        + std::chrono::duration_cast<std::chrono::steady_clock::duration>(span);
+    const std::chrono::duration<double> transferTime(layers / m_layersPerSecond);
+    m_downloadsEndAt = std::max(m_downloadsEndAt, std::chrono::steady_clock::now())
+        + std::chrono::duration_cast<std::chrono::steady_clock::duration>(transferTime);
     Timer timer(m_context.get_executor());
-    timer.expires_at(m_freeAt);
+    timer.expires_at(m_downloadsEndAt);
     co_await timer.async_wait(net::as_tuple(useAwaitable));
     reply.body = "{}";
     co_await exchange.respond(std::move(reply));
--- a/standins/WeightStoreStandin.h
+++ b/standins/WeightStoreStandin.h
@@ -6,7 +6,7 @@
 
 namespace crocusmount {
 
-/// The platform's weight store: gives out layers at a bounded rate, one download after the other.
+/// Stands in for the platform's weight store: serves layers at a limited rate, one download after another.
 class WeightStoreStandin final : public HttpHandler {
 public:
     WeightStoreStandin(net::io_context&, double layersPerSecond);
@@ -16,7 +16,7 @@
 
     net::io_context& m_context;
     double m_layersPerSecond;
-    std::chrono::steady_clock::time_point m_freeAt;
+    std::chrono::steady_clock::time_point m_downloadsEndAt; ///< end of the last download accepted
 };
 
 } // namespace crocusmount
