--- a/programs/crocusmount-entry.cpp
+++ b/programs/crocusmount-entry.cpp
@@ -58,6 +58,7 @@
     return settings.instanceName + "-" + std::to_string(random()) + std::to_string(random());
 }
 
+/// @return the options of the relay that follow from the settings
 relay::RelayOptions relayOptions(const PlatformSettings& settings, const relay::DisabledMechanisms& without)
 {
     relay::RelayOptions options;
@@ -126,11 +127,11 @@
     }
 
 private:
+    /// @return whether the store has been read, routes are configured and no drain has begun
     bool ready() const { return m_mirror.isComplete() && m_node.reducer().routes() && !m_node.reducer().isDraining(); }
 
-    /// @return the addresses for the directory. The list is empty while this instance has no routes: the instance
-    /// cannot
-    ///         serve calls then, and may not know the other instances.
+    /// @return the addresses for the directory, none while this instance has no routes. Without routes the instance
+    ///         cannot serve calls, and may not know the other instances.
     std::vector<std::string> callerAddresses() const
     {
         return m_node.reducer().routes() ? m_registry.callerAddresses() : std::vector<std::string>();
@@ -169,7 +170,7 @@
             if (error)
                 return;
             if (signal == SIGHUP) {
-                // The settings are read once, at the start, so a reload changes nothing.
+                // The settings are fixed for the life of the process, so a reload changes nothing.
                 relay::DecisionLog::state("reload", { { "changed", false } });
                 waitForSignal();
                 return;
--- a/programs/crocusmount-standin.cpp
+++ b/programs/crocusmount-standin.cpp
@@ -1,4 +1,4 @@
-// Serves stand-ins for the systems that crocusmount calls: engines, plain services and the platform's services.
+// Serves stand-ins for the systems around crocusmount: engines, plain services and the platform's services.
 
 #include "programs/CommandLine.h"
 #include "shell/HttpClient.h"
--- a/standins/EngineStandin.cpp
+++ b/standins/EngineStandin.cpp
@@ -181,8 +181,8 @@
         HttpCall call = makeCall(hopAt(hops, hop + 1), "/v1/prepare", body);
         const HttpAnswer answer = co_await m_client.call(std::move(call));
         if (answer.status != 200) {
-            // No stage runs the attempt before all stages have agreed, so the refusal is "not run" even if the call
-            // timed out.
+            // No stage runs the attempt before all stages have agreed, so the refusal is "not run" whatever the outcome
+            // of the call.
             refusal = answer.status == 409 ? answer.body : unreachableReply(textOf(hopAt(hops, hop + 1), "backend"));
             co_return refusal;
         }
--- a/standins/EngineStandin.h
+++ b/standins/EngineStandin.h
@@ -16,9 +16,9 @@
 /// of a chain for each token and streams the tokens of a known text.
 class EngineStandin final : public HttpHandler {
 public:
-    /// @param report       the state that the engine reports at first, and the duration of its steps
+    /// The report holds the initial state of the engine, its number of slots and the duration of a step.
     /// @param checksFence  whether orders with an old fencing number are refused
-    EngineStandin(net::io_context&, BackendReport report, bool checksFence);
+    EngineStandin(net::io_context&, BackendReport, bool checksFence);
 
 private:
     /// Faults set with POST /fault while the engine runs. Each uint64_t except dieAfterTokens is the number of times
@@ -53,8 +53,11 @@
     };
 
     Awaitable<void> onExchange(HttpExchange&) override;
+    /// Answers POST /v1/streams: prepares the chain, streams the tokens and releases the chain.
     Awaitable<void> runStream(HttpExchange&);
+    /// Sends the remaining tokens and the end frame, or an error frame if a stage fails.
     Awaitable<void> sendTokens(HttpExchange&, std::shared_ptr<Stream>);
+    /// Runs one step in a slot of this engine and calls the next stage, if there is one.
     Awaitable<Step> runStep(std::shared_ptr<Stream>, std::uint32_t index, std::uint32_t hop);
     /// Reserves a place for the attempt at this stage and all later ones.
     /// @return the refusal as JSON, or an empty text if all stages agreed
@@ -70,6 +73,7 @@
     /// Answers POST /v1/orders: changes the layer range and increments the generation.
     HttpReply order(const boost::json::object&);
     HttpReply setFaults(const boost::json::object&);
+    /// Answers GET /v1/ledger with the streams begun here, counted by prompt.
     HttpReply ledger() const;
     /// @return the refusal as JSON, or an empty text if this engine can serve the hop
     std::string checkHop(const boost::json::object& hop);
--- a/standins/StoreStandin.h
+++ b/standins/StoreStandin.h
@@ -51,15 +51,19 @@
     };
 
     Awaitable<void> onExchange(HttpExchange&) override;
+    /// Streams the changes of the requested keys until the caller leaves or an outage is set. If the first requested
+    /// revision is compacted, the answer names the compacted revision.
     Awaitable<void> watch(HttpExchange&, const boost::json::object& request);
     HttpReply range(const boost::json::object& request);
     HttpReply txn(const boost::json::object& request);
     HttpReply setFaults(const boost::json::object&);
+    /// Answers /stats with the counts of calls, open watches and keys.
     HttpReply stats() const;
     /// @return whether the key of a compare has the expected mod_revision, 0 for a missing key
     bool compareSucceeds(const boost::json::object& compare) const;
     /// Applies a put or a range deletion of a transaction.
     void apply(const boost::json::object& operation, std::int64_t revision);
+    /// Deletes the keys of a range and records the deletions.
     void erase(const std::string& begin, const std::string& end, std::int64_t revision);
     void wakeWatchers();
     /// Counts a write against the limit for the current second.
