--- a/programs/crocusmount.cpp
+++ b/programs/crocusmount.cpp
@@ -517,7 +517,7 @@
         { { "entry", "IP:PORT", "address of an instance (default: CROCUSMOUNT_ENTRY)" },
             { "token", "TOKEN", "token of an operator or a workspace (default: CROCUSMOUNT_TOKEN)" },
             { "output", "json|table", "output format (default: table)" },
-            { "base", "REVISION", "apply: revision that the write is based on" },
+            { "base", "REVISION", "revision that the write is based on" },
             { "dry-run", "", "apply: check the objects without writing them" },
             { "nonce", "NONCE", "settle: nonce of the write" }, { "watch", "", "status: repeat every second" },
             { "wait", "REVISION", "status: wait until live instances have applied it" },
