--- a/programs/crocusmount-entry.cpp
+++ b/programs/crocusmount-entry.cpp
@@ -62,7 +62,7 @@
     options.without = without;
     options.dataCentre = DataCentreId(settings.dataCentre);
     options.retryRatio = settings.retryRatio * RetryShare;
-    options.retryRipening = Duration(static_cast<std::int64_t>(settings.retryWindowSeconds * 1e6));
+    options.retryBurstRampUp = Duration(static_cast<std::int64_t>(settings.retryWindowSeconds * 1e6));
     options.rerouteDelay = Duration(static_cast<std::int64_t>(MoveOffShare * settings.drainMs * 1000));
     options.retrySlack = settings.retrySlack * RetryShare;
     return options;
@@ -112,7 +112,7 @@
             m_peerLink = *std::move(link);
         }
         if (m_node.reducer().options().without.has(relay::Mechanism::StoreFeed))
-            m_mirror.refuseFeed();
+            m_mirror.disablePeerFeed();
         m_mirror.start();
         m_registry.start();
         m_lock.start();
--- a/src/admission/RetryBudget.h
+++ b/src/admission/RetryBudget.h
@@ -10,7 +10,7 @@
 public:
     /// @param ratio         tokens added per request
     /// @param burst         capacity of the bucket, in tokens
-    /// @param initialShare  share of the capacity that is filled at the start, see ripen
+    /// @param initialShare  share of the capacity that is filled at the start, see raiseBurstShare
     RetryBudget(double ratio, double burst, double initialShare = 1)
         : m_tokensPerRequest(ratio)
         , m_capacity(burst)
@@ -22,7 +22,7 @@
     /// Fills the bucket of a process that has just started step by step. A process that is restarted several times
     /// within the window over which retries are counted thus gets no more retries than one that keeps running.
     /// @param share  share of the capacity to have been granted by now, from 0 to 1; ignored unless it has grown
-    void ripen(double share)
+    void raiseBurstShare(double share)
     {
         if (share <= m_grantedShare)
             return;
@@ -42,7 +42,7 @@
     void earn() { m_tokens = std::min(m_capacity, m_tokens + m_tokensPerRequest); }
 
     /// @return whether one more retry is allowed
-    bool hasOne() const { return m_tokens >= 1; }
+    bool hasToken() const { return m_tokens >= 1; }
     /// Consumes a token if there is one.
     /// @return whether the retry is allowed
     bool spend()
--- a/src/core/ReducerState.cpp
+++ b/src/core/ReducerState.cpp
@@ -36,7 +36,7 @@
 void ReducerState::noticePause(TimePoint now)
 {
     if (m_lastEvent && now - *m_lastEvent > PauseLimit) {
-        m_backends.distrustReports();
+        m_backends.expireReports();
         m_trustPeersFrom = now + PauseDrain;
         m_nextProbe = TimePoint();
     }
@@ -128,12 +128,12 @@
 {
     if (m_backends.report(body.report, body.asked, event.now, 0))
         spreadChange(body.report.backend, event.now, effects);
-    m_requests.roomMayHaveChanged();
+    m_requests.capacityMayHaveChanged();
 }
 
 void ReducerState::on(const event::BackendUnreachable& body, const Event& event, Effects& effects)
 {
-    if (m_backends.probeMissed(body.backend))
+    if (m_backends.recordMissedProbe(body.backend))
         spreadChange(body.backend, event.now, effects);
 }
 
@@ -205,10 +205,10 @@
         if (news.reachable)
             m_backends.report(news.report, event.now - news.age, event.now, news.sequence);
         else
-            m_backends.heardUnreachable(news.report.backend, news.sequence);
+            m_backends.markUnreachableByPeer(news.report.backend, news.sequence);
     }
     if (!body.message.backends.empty())
-        m_requests.roomMayHaveChanged();
+        m_requests.capacityMayHaveChanged();
     fetchNewer(body.message.sender, event.now, effects);
     updateFollowing(effects);
 }
--- a/src/edge/PeerLink.cpp
+++ b/src/edge/PeerLink.cpp
@@ -127,7 +127,7 @@
     if (!datagram->crashes.empty())
         m_node.post(relay::event::CrashesReported { datagram->crashes });
     if (!datagram->soundRequests.empty())
-        m_node.post(relay::event::SoundRequestsReported { datagram->soundRequests });
+        m_node.post(relay::event::HarmlessRequestsReported { datagram->soundRequests });
     if (datagram->storeChanges && !datagram->forwardUntil.empty())
         forward(*datagram, m_registry.self().id, datagram->forwardUntil);
     // The first instance of a data centre ignores its peers' copies while it can reach the store. If two instances
@@ -207,10 +207,10 @@
 
 /// Sends a finding to all other instances immediately. The next round would be too late, as the interval of the rounds
 /// is as long as the pause that callers accept.
-void PeerLink::onShareFinding(const relay::effect::ShareFinding& report)
+void PeerLink::onShareFinding(const relay::effect::ReportEngineState& report)
 {
     PeerDatagram datagram;
-    const bool isDead = report.finding == relay::effect::ShareFinding::Finding::Dead;
+    const bool isDead = report.finding == relay::effect::ReportEngineState::Finding::Dead;
     (isDead ? datagram.deadEngines : datagram.closedEngines)
         .push_back(relay::engineKey(report.engine, report.startedAt));
     sendToAll(encode(datagram));
@@ -230,7 +230,7 @@
         sendRepeatedly(encode(datagram));
 }
 
-void PeerLink::onShareSoundRequest(const relay::effect::ShareSoundRequest& sound)
+void PeerLink::onShareSoundRequest(const relay::effect::ShareHarmlessRequest& sound)
 {
     PeerDatagram datagram;
     datagram.soundRequests.push_back(sound.request);
--- a/src/edge/PeerLink.h
+++ b/src/edge/PeerLink.h
@@ -57,9 +57,9 @@
     void receive(const std::string& bytes);
     void distribute(const StoreMirror::Changes&);
     void forward(PeerDatagram, const std::string& after, const std::string& until);
-    void onShareFinding(const relay::effect::ShareFinding&) override;
+    void onShareFinding(const relay::effect::ReportEngineState&) override;
     void onShareCrashes(const relay::effect::ShareCrashes&) override;
-    void onShareSoundRequest(const relay::effect::ShareSoundRequest&) override;
+    void onShareSoundRequest(const relay::effect::ShareHarmlessRequest&) override;
     void sendRepeatedly(std::string bytes);
     void sendRepeats();
     void reportStoreCopy();
--- a/src/edge/PeerSink.h
+++ b/src/edge/PeerSink.h
@@ -9,14 +9,14 @@
 public:
     virtual ~PeerSink() = default;
 
-    void shareFinding(const relay::effect::ShareFinding& finding) { onShareFinding(finding); }
+    void shareFinding(const relay::effect::ReportEngineState& finding) { onShareFinding(finding); }
     void shareCrashes(const relay::effect::ShareCrashes& crashes) { onShareCrashes(crashes); }
-    void shareSoundRequest(const relay::effect::ShareSoundRequest& sound) { onShareSoundRequest(sound); }
+    void shareSoundRequest(const relay::effect::ShareHarmlessRequest& sound) { onShareSoundRequest(sound); }
 
 private:
-    virtual void onShareFinding(const relay::effect::ShareFinding&) = 0;
+    virtual void onShareFinding(const relay::effect::ReportEngineState&) = 0;
     virtual void onShareCrashes(const relay::effect::ShareCrashes&) = 0;
-    virtual void onShareSoundRequest(const relay::effect::ShareSoundRequest&) = 0;
+    virtual void onShareSoundRequest(const relay::effect::ShareHarmlessRequest&) = 0;
 };
 
 } // namespace crocusmount
--- a/src/edge/QuarantineStore.cpp
+++ b/src/edge/QuarantineStore.cpp
@@ -46,7 +46,7 @@
     std::string textFrom(const QuarantineStore::Entry& entry)
     {
         return boost::json::serialize(boost::json::object { { "workspace", entry.request.workspace.value() },
-            { "content", entry.request.content.toText() }, { "since_ms", entry.sinceMs },
+            { "content", entry.request.content.toHex() }, { "since_ms", entry.sinceMs },
             { "servers", entry.servers } });
     }
 
@@ -85,7 +85,7 @@
 {
     // The workspace's name can be too long for a key, so the id contains its hash. The value holds the full name.
     const std::string& workspace = request.workspace.value();
-    return absl::StrFormat("%s-%016x", request.content.toText(), XXH3_64bits(workspace.data(), workspace.size()));
+    return absl::StrFormat("%s-%016x", request.content.toHex(), XXH3_64bits(workspace.data(), workspace.size()));
 }
 
 void QuarantineStore::storeChanged(const StoreEvent& event)
--- a/src/edge/RelayNode.cpp
+++ b/src/edge/RelayNode.cpp
@@ -59,25 +59,25 @@
 
     bool isRefused(const EngineReport& report) { return report.answer == CheckAnswer::Refused; }
 
-    const char* toString(effect::NoteBelief::Belief belief)
+    const char* toString(effect::LogServerState::ServerStateChange belief)
     {
-        using Belief = effect::NoteBelief::Belief;
+        using ServerStateChange = effect::LogServerState::ServerStateChange;
         switch (belief) {
-        case Belief::ProcessEnded:
+        case ServerStateChange::ProcessEnded:
             return "server_ended";
-        case Belief::StartEnded:
+        case ServerStateChange::StartEnded:
             return "server_start_ended";
-        case Belief::EntryOutdated:
+        case ServerStateChange::EntryOutdated:
             return "server_entry_outdated";
-        case Belief::EntryUnusable:
+        case ServerStateChange::EntryUnusable:
             return "server_entry_unusable";
-        case Belief::Reinstated:
+        case ServerStateChange::Reinstated:
             return "server_reinstated";
-        case Belief::ReportedDead:
+        case ServerStateChange::ReportedDead:
             return "engine_reported_dead";
-        case Belief::Closed:
+        case ServerStateChange::Closed:
             return "engine_closed";
-        case Belief::ReportedClosed:
+        case ServerStateChange::ReportedClosed:
             return "engine_reported_closed";
         }
         return "belief";
@@ -133,7 +133,7 @@
     const RequestId id(m_nextRequestId++);
     spec.content = digestOf(*request, spec.host);
     auto pipe = std::make_shared<AnswerPipe>(m_context);
-    m_openCalls[id] = { spec.name, spec.content.toText(), std::move(request), pipe, now(), std::nullopt, std::nullopt,
+    m_openCalls[id] = { spec.name, spec.content.toHex(), std::move(request), pipe, now(), std::nullopt, std::nullopt,
         Duration(0), 0 };
     if (!m_reducer.openCalls())
         m_tickTimer.cancel();
@@ -286,7 +286,7 @@
     std::string call = callId;
     const std::string stage = co_await m_engineControl.stalledStage(std::move(address), std::move(call));
     DecisionLog::call("stalled", callId, { { "asked", query.address }, { "stage", stage } });
-    post(event::StalledStageNamed { query.attempt, stage });
+    post(event::StalledStageReported { query.attempt, stage });
 }
 
 void RelayNode::on(const effect::CheckEngine& check)
@@ -294,7 +294,7 @@
     net::co_spawn(m_context.get_executor(), checkEngine(check), net::detached);
 }
 
-void RelayNode::on(const effect::ShareFinding& report)
+void RelayNode::on(const effect::ReportEngineState& report)
 {
     if (m_peers)
         m_peers->shareFinding(report);
@@ -306,24 +306,24 @@
         m_peers->shareCrashes(crashes);
 }
 
-void RelayNode::on(const effect::ShareSoundRequest& sound)
+void RelayNode::on(const effect::ShareHarmlessRequest& sound)
 {
     if (m_peers)
         m_peers->shareSoundRequest(sound);
 }
 
-void RelayNode::on(const effect::NoteCrash& note)
+void RelayNode::on(const effect::LogCrash& note)
 {
     const CrashSuspect& suspect = note.crash.suspect;
     DecisionLog::state(note.counts ? "server_ended_under_request" : "server_ended_in_group",
-        { { "request", suspect.request.content.toText() }, { "workspace", suspect.request.workspace.value() },
+        { { "request", suspect.request.content.toHex() }, { "workspace", suspect.request.workspace.value() },
             { "server_key", hexKey(note.crash.server) }, { "just_begun", suspect.sign == CrashSign::JustBegun } });
 }
 
 void RelayNode::on(const effect::QuarantineRequest& verdict)
 {
     DecisionLog::state("request_quarantined",
-        { { "request", verdict.request.content.toText() }, { "workspace", verdict.request.workspace.value() },
+        { { "request", verdict.request.content.toHex() }, { "workspace", verdict.request.workspace.value() },
             { "servers", verdict.servers }, { "points", verdict.points }, { "own", verdict.isOwn } });
     if (m_quarantine)
         m_quarantine->quarantine(verdict);
@@ -332,7 +332,7 @@
 void RelayNode::on(const effect::ClearRequest& cleared)
 {
     DecisionLog::state("request_cleared",
-        { { "request", cleared.request.content.toText() }, { "workspace", cleared.request.workspace.value() },
+        { { "request", cleared.request.content.toHex() }, { "workspace", cleared.request.workspace.value() },
             { "was_quarantined", cleared.wasQuarantined } });
     if (m_quarantine)
         m_quarantine->clear(cleared);
@@ -367,7 +367,7 @@
         report.startedAt, report.layers, report.queued, report.memoryUsed });
 }
 
-void RelayNode::on(const effect::NoteBelief& note)
+void RelayNode::on(const effect::LogServerState& note)
 {
     DecisionLog::state(toString(note.belief),
         { { "server", note.server.value() }, { "started_ms", note.startedAt.value() },
--- a/src/edge/RelayNode.h
+++ b/src/edge/RelayNode.h
@@ -94,7 +94,7 @@
     /// Removes the attempt. Ends its call if the answer is complete, and logs the failure otherwise.
     void recordAttemptEnd(const event::AttemptEnded&);
     void logCancelled(const RunningAttempt&, CancelCause);
-    /// Asks for the stalled stage of a stream and posts StalledStageNamed.
+    /// Asks for the stalled stage of a stream and posts StalledStageReported.
     Awaitable<void> askStalledStage(effect::AskStalledStage, std::string callId);
     /// Checks an engine and posts EngineChecked.
     Awaitable<void> checkEngine(effect::CheckEngine);
@@ -112,12 +112,12 @@
     void on(const effect::CheckEngine&);
     void on(const effect::ProbeServer&);
     void on(const effect::ShareCrashes&);
-    void on(const effect::ShareSoundRequest&);
-    void on(const effect::NoteCrash&);
+    void on(const effect::ShareHarmlessRequest&);
+    void on(const effect::LogCrash&);
     void on(const effect::QuarantineRequest&);
     void on(const effect::ClearRequest&);
-    void on(const effect::ShareFinding&);
-    void on(const effect::NoteBelief&);
+    void on(const effect::ReportEngineState&);
+    void on(const effect::LogServerState&);
     void on(const effect::RerouteAttempt&);
     void on(const effect::Refuse&);
     void on(const effect::DeliverServerFailure&);
--- a/src/edge/StoreMirror.h
+++ b/src/edge/StoreMirror.h
@@ -82,7 +82,7 @@
         return m_isFeedAllowed && m_wasEverFed && std::chrono::steady_clock::now() < m_feedValidUntil;
     }
     /// Makes the copy always watch the store and ignore changes and copies from peers.
-    void refuseFeed() { m_isFeedAllowed = false; }
+    void disablePeerFeed() { m_isFeedAllowed = false; }
     Progress progress() const;
     /// Sets the source of peers' copies, which this mirror uses while the store does not answer.
     /// @param source  must outlive this mirror
--- a/src/planning/HolderWeights.h
+++ b/src/planning/HolderWeights.h
@@ -24,7 +24,7 @@
     HolderWeights(const relay::EngineModel& model, double meanSlowness);
 
     /// Makes each holder count as 1.
-    void countAllAlike() { m_countsAllAlike = true; }
+    void weighAllEqually() { m_countsAllAlike = true; }
 
     /// @return the number of valid kind indices
     std::size_t kindCount() const;
--- a/src/planning/LayerPlanner.cpp
+++ b/src/planning/LayerPlanner.cpp
@@ -137,7 +137,7 @@
     const double kvTarget = chooseKvTarget(model, engines);
     HolderWeights weights(model, meanSlowness(model, engines, kvTarget));
     if (disabled.has(relay::Mechanism::HolderWeights))
-        weights.countAllAlike();
+        weights.weighAllEqually();
     LayerCoverage coverage(model.layers, requiredEntries(model, engines, kvTarget), weights);
     struct EmptyEngine {
         std::uint32_t layerCount = 0; ///< number of layers to hold
--- a/src/relay/Call.h
+++ b/src/relay/Call.h
@@ -69,7 +69,7 @@
     bool mayHaveRun = false; ///< an ended attempt may have run the call
     bool hasPartialAnswer = false; ///< the caller received at least one event
     std::uint64_t lastEventId = 0; ///< id of the last event that the caller has, here or from an earlier call
-    bool hasRunSoundly = false; ///< ran to its end, or longer than a request that crashes its server, see SoundRun
+    bool wasHarmless = false; ///< ran to its end, or longer than a request that crashes its server, see MinHarmlessRun
     std::optional<TimePoint> nextHoldCheckAt; ///< set while the call is kept out of the queue for a crash verdict
     std::optional<TimePoint> holdDeadline; ///< the call is queued at this time even without a verdict
     std::vector<BackendId> avoid; ///< servers that failed or rejected this call, or stalled under it
--- a/src/relay/CallSpec.h
+++ b/src/relay/CallSpec.h
@@ -16,7 +16,7 @@
     std::string path; ///< without the query
     ContentDigest content; ///< of everything but the headers; equal for a repeat, even under another name
     std::string key; ///< bearer key; empty if none was sent
-    Duration patience {}; ///< how long the caller waits for the answer; zero if unknown
+    Duration callerTimeout {}; ///< how long the caller waits for the answer; zero if unknown
     std::uint32_t promptTokens = 0;
     std::uint32_t maxAnswerTokens = 0;
     std::uint32_t expectedAnswerTokens = 0; ///< the caller's estimate; zero if unknown
--- a/src/relay/CrashEvidence.cpp
+++ b/src/relay/CrashEvidence.cpp
@@ -117,7 +117,7 @@
     return findings;
 }
 
-std::size_t CrashEvidence::openCases(const RequestIdentity& request) const
+std::size_t CrashEvidence::unclassifiedEndCount(const RequestIdentity& request) const
 {
     const auto lostCount = std::count_if(m_lostAttempts.begin(), m_lostAttempts.end(),
         [&](const LostAttempt& each) { return each.suspect.request == request; });
--- a/src/relay/CrashEvidence.h
+++ b/src/relay/CrashEvidence.h
@@ -51,7 +51,7 @@
 
     /// @return the number of possible or confirmed ends of servers that are not classified yet and for which this
     ///         request is a suspect
-    std::size_t openCases(const RequestIdentity&) const;
+    std::size_t unclassifiedEndCount(const RequestIdentity&) const;
 
     /// @return servers that may have ended during an attempt, each with the time when the last such attempt was lost. A
     ///         check has to be sent after that time to show whether the server was still alive.
--- a/src/relay/CrashReport.h
+++ b/src/relay/CrashReport.h
@@ -6,7 +6,7 @@
 namespace crocusmount::relay {
 
 /// A request that has made progress at a server for this long is considered harmless to servers.
-constexpr Duration SoundRun = std::chrono::milliseconds(300);
+constexpr Duration MinHarmlessRun = std::chrono::milliseconds(300);
 
 /// How strongly the end of a server points to a request that the server held, in ascending order.
 enum class CrashSign {
--- a/src/relay/SoundRequests.cpp
+++ b/src/relay/HarmlessRequests.cpp
@@ -1,4 +1,4 @@
-#include "relay/SoundRequests.h"
+#include "relay/HarmlessRequests.h"
 
 namespace crocusmount::relay {
 
@@ -9,7 +9,7 @@
 
 } // namespace
 
-void SoundRequests::add(const RequestIdentity& request)
+void HarmlessRequests::add(const RequestIdentity& request)
 {
     if (!m_requests.insert(request).second)
         return;
--- a/src/relay/SoundRequests.h
+++ b/src/relay/HarmlessRequests.h
@@ -13,7 +13,7 @@
 /// Requests in the set are never suspected of crashing a server. Without this exemption, a popular request that many
 /// callers send would look like the cause when all servers of a service end together, because at any time it is just
 /// beginning to run on each of them.
-class SoundRequests {
+class HarmlessRequests {
 public:
     void add(const RequestIdentity&);
     bool contains(const RequestIdentity& request) const { return m_requests.count(request) != 0; }
--- a/src/relay/RelayEffect.h
+++ b/src/relay/RelayEffect.h
@@ -80,12 +80,12 @@
     };
 
     /// Report to the other instances that a request suspected of crashing servers has run without a crash.
-    struct ShareSoundRequest {
+    struct ShareHarmlessRequest {
         RequestIdentity request;
     };
 
     /// Log that a server ended while it ran a request.
-    struct NoteCrash {
+    struct LogCrash {
         CrashReport crash;
         bool counts = false; ///< whether it counts against the request; false if other servers ended at that moment
     };
@@ -106,7 +106,7 @@
     };
 
     /// Report to the other instances what a health check of an engine found.
-    struct ShareFinding {
+    struct ReportEngineState {
         enum class Finding {
             Dead, ///< the engine did not answer
             Closed, ///< the engine accepts no new calls despite free capacity, because it leaves or gives up layers
@@ -117,8 +117,8 @@
     };
 
     /// Log that the assumed state of a backend server changed.
-    struct NoteBelief {
-        enum class Belief {
+    struct LogServerState {
+        enum class ServerStateChange {
             ProcessEnded, ///< no process listens at its address, or its entry was removed while it did not answer
             StartEnded, ///< a later start took its place, so all work that ran there is lost
             EntryOutdated, ///< its registry entry describes a start that has ended
@@ -128,7 +128,7 @@
             Closed, ///< it rejected a call of this instance despite free capacity, so it accepts no new calls
             ReportedClosed, ///< another instance reported that it accepts no new calls despite free capacity
         };
-        Belief belief;
+        ServerStateChange belief;
         BackendId server;
         StartTime startedAt {}; ///< start in the entry or report that caused the change; zero if unknown
     };
@@ -167,8 +167,9 @@
 
 using RelayEffect = std::variant<effect::StartAttempt, effect::CancelAttempt, effect::HoldAnswer,
     effect::ContinueAnswer, effect::AskStalledStage, effect::CheckEngine, effect::ProbeServer, effect::ShareCrashes,
-    effect::ShareSoundRequest, effect::NoteCrash, effect::QuarantineRequest, effect::ClearRequest, effect::ShareFinding,
-    effect::NoteBelief, effect::RerouteAttempt, effect::Refuse, effect::DeliverServerFailure, effect::BreakAnswer>;
+    effect::ShareHarmlessRequest, effect::LogCrash, effect::QuarantineRequest, effect::ClearRequest,
+    effect::ReportEngineState, effect::LogServerState, effect::RerouteAttempt, effect::Refuse,
+    effect::DeliverServerFailure, effect::BreakAnswer>;
 using RelayEffects = std::vector<RelayEffect>;
 
 } // namespace crocusmount::relay
--- a/src/relay/RelayEvent.h
+++ b/src/relay/RelayEvent.h
@@ -103,7 +103,7 @@
     };
 
     /// The first stage answered effect::AskStalledStage.
-    struct StalledStageNamed {
+    struct StalledStageReported {
         AttemptId attempt;
         std::string address; ///< of the stage where the stream is stalled; empty if the first stage knows of none
     };
@@ -155,7 +155,7 @@
     };
 
     /// Another instance reported requests that run without crashing a server.
-    struct SoundRequestsReported {
+    struct HarmlessRequestsReported {
         std::vector<RequestIdentity> requests;
     };
 
@@ -180,8 +180,8 @@
 using RelayEventBody = std::variant<event::ConfigurationAccepted, event::ServerRegistered, event::ServerUnregistered,
     event::InstancesCounted, event::StoreCopyChecked, event::LoadsReported, event::CallArrived, event::CallerLeft,
     event::AttemptSent, event::AnswerBegun, event::EventDelivered, event::AttemptEnded, event::RerouteAnswered,
-    event::StalledStageNamed, event::EngineChecked, event::ServerProbed, event::CrashesReported,
-    event::SoundRequestsReported, event::QuarantineListed, event::QuarantineLifted, event::EngineStartSeen,
+    event::StalledStageReported, event::EngineChecked, event::ServerProbed, event::CrashesReported,
+    event::HarmlessRequestsReported, event::QuarantineListed, event::QuarantineLifted, event::EngineStartSeen,
     event::EnginesReportedDead, event::EnginesReportedClosed, event::DrainRequested, event::Tick>;
 
 /// An event, with the only time and randomness that the reducer may use to handle it.
--- a/src/relay/RelayOptions.h
+++ b/src/relay/RelayOptions.h
@@ -17,7 +17,7 @@
     double retrySlack = 100;
     /// Time from the start of an instance until it may use its whole share of retrySlack. The usable share grows during
     /// this time, so that an instance in a restart loop does not get the whole share with each start.
-    Duration retryRipening {};
+    Duration retryBurstRampUp {};
     /// How long a call waits for the first configuration of an instance that has just started. This covers a power
     /// failure after which all instances start at the same time while the store is still unavailable. By then callers
     /// have used the only retry that they make, and most callers that are refused do not come back.
@@ -27,7 +27,7 @@
     double configurationWaitShare = 0.25;
     /// Maximum number of servers that may reject a call before it is refused. These servers did not run the call, so
     /// Route::maxAttempts does not count them, but the retry budget does.
-    std::uint32_t mostRejections = 3;
+    std::uint32_t maxRejections = 3;
     /// Maximum wait for a server with free capacity, as a fraction of the latency objective. After a longer wait the
     /// call itself would miss the objective.
     double queueWaitShare = 0.5;
@@ -41,11 +41,11 @@
     /// Time from the announcement that a server leaves until its streams are moved to other servers. Most streams end
     /// earlier. The server continues to run them for at least twice this time.
     Duration rerouteDelay = std::chrono::milliseconds(1000);
-    std::uint32_t mostQuestions = 3; ///< maximum number of queries for the stalled stage of one attempt
+    std::uint32_t maxStallQueries = 3; ///< maximum number of queries for the stalled stage of one attempt
     /// Minimum time between two queries for the stalled stage of one attempt. The answers are based on stage reports of
     /// up to this age.
-    Duration questionInterval = std::chrono::milliseconds(200);
-    std::uint32_t mostReroutes = 3; ///< maximum number of reroutes of one attempt
+    Duration stallQueryInterval = std::chrono::milliseconds(200);
+    std::uint32_t maxReroutes = 3; ///< maximum number of reroutes of one attempt
     /// How long new calls are accepted after the start of a drain. Calls that arrive later might not end before the
     /// process has to exit.
     Duration lastCall = std::chrono::milliseconds(2800);
--- a/src/relay/RelayReducer.cpp
+++ b/src/relay/RelayReducer.cpp
@@ -132,7 +132,7 @@
         return Reason::Draining;
     call.rank = call.route->rank;
     if (!m_routes->configuration().workspaces.empty() && !call.route->anonymous) {
-        const KeyHolder* holder = m_routes->holderOf(call.spec.key);
+        const WorkspaceKeys* holder = m_routes->workspaceByKey(call.spec.key);
         if (!holder)
             return m_isStoreCopyOutdated ? Reason::NotConfigured : Reason::UnknownKey;
         call.workspace = holder->workspace;
@@ -149,9 +149,9 @@
 {
     ++m_counters.calls;
     if (!m_routes && m_earlyCalls.size() < MaxEarlyCalls) {
-        const Duration patience = arrival.spec.patience;
-        const Duration wait = patience.count() > 0
-            ? std::min(m_options.configurationWait, scaled(patience, m_options.configurationWaitShare))
+        const Duration callerTimeout = arrival.spec.callerTimeout;
+        const Duration wait = callerTimeout.count() > 0
+            ? std::min(m_options.configurationWait, scaled(callerTimeout, m_options.configurationWaitShare))
             : m_options.configurationWait;
         m_earlyCalls.push_back({ arrival, context.now, context.now + wait });
         return;
@@ -174,8 +174,8 @@
         return;
     }
     const Route& route = *call.route;
-    const Duration patience = call.spec.patience.count() > 0 ? call.spec.patience : route.timeout;
-    call.deadline = arrived + std::min(patience, route.timeout);
+    const Duration callerTimeout = call.spec.callerTimeout.count() > 0 ? call.spec.callerTimeout : route.timeout;
+    call.deadline = arrived + std::min(callerTimeout, route.timeout);
     call.waitUntil = context.now + scaled(route.objective, m_options.queueWaitShare);
     const std::uint32_t expected
         = call.spec.expectedAnswerTokens ? call.spec.expectedAnswerTokens : call.spec.maxAnswerTokens;
@@ -248,10 +248,10 @@
     call->lastEventId = delivered.eventId;
     call->lastProgress = context.now;
     call->lastDeliveredAt = context.now;
-    m_fleet.progressed(call->main.chain, context.now);
+    m_fleet.recordProgress(call->main.chain, context.now);
     const TimePoint begun = call->main.answerBegunAt.value_or(call->main.startedAt);
-    if (!call->hasRunSoundly && context.now - begun >= SoundRun)
-        recordSoundRequest(*call, context);
+    if (!call->wasHarmless && context.now - begun >= MinHarmlessRun)
+        recordHarmlessRequest(*call, context);
 }
 
 void RelayReducer::on(const event::AttemptEnded& ended, Context& context)
@@ -263,7 +263,7 @@
     if (ended.result == AttemptResult::Completed) {
         keepOnly(call, ended.attempt, context);
         m_fleet.succeeded(call.main.server);
-        recordSoundRequest(call, context);
+        recordHarmlessRequest(call, context);
         release(call, call.main, context);
         ++m_counters.completed;
         remove(call.id);
@@ -357,7 +357,7 @@
     if (countedAttempts(call) >= call.route->maxAttempts)
         return RetryLimit::Attempts;
     // A partial answer may be rejected more often: the retry budget and the caller's timeout bound its attempts.
-    if (!call.hasPartialAnswer && call.rejections >= m_options.mostRejections)
+    if (!call.hasPartialAnswer && call.rejections >= m_options.maxRejections)
         return RetryLimit::Rejections;
     if (context.now >= call.deadline)
         return RetryLimit::Deadline;
--- a/src/relay/RelayReducer.h
+++ b/src/relay/RelayReducer.h
@@ -5,6 +5,7 @@
 #include "relay/CallPlacer.h"
 #include "relay/CrashEvidence.h"
 #include "relay/EngineCheckBudget.h"
+#include "relay/HarmlessRequests.h"
 #include "relay/RelayCounters.h"
 #include "relay/RelayEffect.h"
 #include "relay/RelayEvent.h"
@@ -12,7 +13,6 @@
 #include "relay/RequestQuarantine.h"
 #include "relay/ServerFleet.h"
 #include "relay/ServiceQueue.h"
-#include "relay/SoundRequests.h"
 
 #include <absl/container/flat_hash_map.h>
 #include <deque>
@@ -80,14 +80,14 @@
     void on(const event::EventDelivered&, Context&);
     void on(const event::AttemptEnded&, Context&);
     void on(const event::RerouteAnswered&, Context&);
-    void on(const event::StalledStageNamed&, Context&);
+    void on(const event::StalledStageReported&, Context&);
     void on(const event::EngineChecked&, Context&);
     void on(const event::EngineStartSeen&, Context&);
     void on(const event::EnginesReportedDead&, Context&);
     void on(const event::EnginesReportedClosed&, Context&);
     void on(const event::ServerProbed&, Context&);
     void on(const event::CrashesReported&, Context&);
-    void on(const event::SoundRequestsReported&, Context&);
+    void on(const event::HarmlessRequestsReported&, Context&);
     void on(const event::QuarantineListed&, Context&);
     void on(const event::QuarantineLifted&, Context&);
     void on(const event::DrainRequested&, Context&);
@@ -182,7 +182,7 @@
     void countCrash(const CrashReport&, bool isOwn, Context&);
     void quarantine(const RequestIdentity&, bool isOwn, Context&);
     bool clearRequest(const RequestIdentity&, bool isOwn, Context&);
-    void recordSoundRequest(Call&, Context&);
+    void recordHarmlessRequest(Call&, Context&);
     bool awaitsCrashVerdict(const Call&) const;
     void holdCall(Call&, Context&);
     void releaseHeldCalls(Context&);
@@ -215,7 +215,7 @@
     std::map<BackendId, RegisteredServer> m_unusable; ///< entries that fit no service of the configuration
     CrashEvidence m_crashEvidence;
     RequestQuarantine m_quarantine;
-    SoundRequests m_soundRequests;
+    HarmlessRequests m_harmlessRequests;
     EngineCheckBudget m_checkBudget;
     std::uint64_t m_nextAttempt = 1;
     std::optional<TimePoint> m_startedAt; ///< time of the first event
--- a/src/relay/RelayReducerChecks.cpp
+++ b/src/relay/RelayReducerChecks.cpp
@@ -83,14 +83,14 @@
 void RelayReducer::checkEngine(FleetServer& server, Context& context)
 {
     const Duration interval = server.unansweredChecks ? UnansweredCheckInterval : AnsweredCheckInterval;
-    if (context.now >= server.lastCheck + interval && mayCheck(server) && m_checkBudget.spend())
+    if (context.now >= server.lastCheckAt + interval && mayCheck(server) && m_checkBudget.spend())
         sendCheck(server, context);
 }
 
 /// Checks an engine that shows a sign of failure. The shorter interval applies even if it answered the last check.
 void RelayReducer::checkUrgently(FleetServer& server, Context& context)
 {
-    if (context.now >= server.lastCheck + UrgentCheckInterval && mayCheck(server) && m_checkBudget.spendUrgent())
+    if (context.now >= server.lastCheckAt + UrgentCheckInterval && mayCheck(server) && m_checkBudget.spendUrgent())
         sendCheck(server, context);
 }
 
@@ -103,7 +103,7 @@
 void RelayReducer::sendCheck(FleetServer& server, Context& context)
 {
     server.beingChecked = true;
-    server.lastCheck = context.now;
+    server.lastCheckAt = context.now;
     ++m_counters.engineChecks;
     context.effects.emplace_back(effect::CheckEngine { server.entry.id, server.entry.address, server.entry.startedAt });
 }
@@ -114,7 +114,7 @@
         FleetServer& server = *m_fleet.find(id);
         const bool isDeadCheckDue = server.isDead(context.now) && context.now + DeadRecheckLead >= server.deadUntil;
         const bool isSlowCheckDue
-            = server.slowness > SlownessRecheckThreshold && context.now >= server.lastCheck + SlowEngineCheckInterval;
+            = server.slowness > SlownessRecheckThreshold && context.now >= server.lastCheckAt + SlowEngineCheckInterval;
         if (isDeadCheckDue || isSlowCheckDue)
             checkEngine(server, context);
     }
@@ -152,7 +152,7 @@
         return;
     if (checked.answered) {
         m_crashEvidence.noteAlive(server->others.engine);
-        m_fleet.answeredCheck(checked.engine, checked.slowness);
+        m_fleet.recordAnsweredCheck(checked.engine, checked.slowness);
         recordClosed(checked, context);
         dispatchAll(context);
         return;
@@ -160,12 +160,12 @@
     m_crashEvidence.noteSilent(server->others.engine, context.now, server->lastAliveAt);
     if (checked.refused)
         recordServerEnded(*server, context);
-    m_fleet.missedCheck(checked.engine, checked.refused, context.now);
+    m_fleet.recordMissedCheck(checked.engine, checked.refused, context.now);
     ++m_counters.deadEngines;
     server = m_fleet.find(checked.engine);
     const bool sharesDeath = !m_options.without.has(Mechanism::DeadReports);
     if (sharesDeath && server && server->unansweredChecks == 1)
-        context.effects.emplace_back(effect::ShareFinding { checked.engine, server->entry.startedAt });
+        context.effects.emplace_back(effect::ReportEngineState { checked.engine, server->entry.startedAt });
     if (server && server->unansweredChecks == 1)
         checkEnginesAfterFailure(checked.refused, context);
     // Streams through an ended process hold memory at all other stages until their callers time out.
@@ -184,10 +184,10 @@
 {
     for (const BackendId& id : m_fleet.checkCandidates(context.now)) {
         FleetServer& suspect = *m_fleet.find(id);
-        if (!suspect.closedCheckDue || context.now < suspect.turnedAwayAt + ReportLag)
+        if (!suspect.closedCheckDue || context.now < suspect.lastRejectedAt + ReportLag)
             continue;
         suspect.closedCheckDue = false;
-        const bool isResolved = suspect.acceptedAt > suspect.turnedAwayAt || suspect.isClosed(context.now);
+        const bool isResolved = suspect.lastAcceptedAt > suspect.lastRejectedAt || suspect.isClosed(context.now);
         if (!isResolved && !suspect.isDead(context.now))
             checkUrgently(suspect, context);
     }
@@ -201,15 +201,15 @@
     const bool hasRoom = !checked.queued && checked.memoryUsed < MaxMemoryShareWithRoom;
     if (!server || !hasRoom || m_options.without.has(Mechanism::ClosedEngines) || server->isClosed(context.now))
         return;
-    const Duration since = context.now - server->turnedAwayAt;
-    if (since < ReportLag || since > 2 * ReportLag || server->acceptedAt > server->turnedAwayAt)
+    const Duration since = context.now - server->lastRejectedAt;
+    if (since < ReportLag || since > 2 * ReportLag || server->lastAcceptedAt > server->lastRejectedAt)
         return;
     m_fleet.closed(checked.engine, context.now);
     ++m_counters.closedEngines;
-    context.effects.emplace_back(
-        effect::NoteBelief { effect::NoteBelief::Belief::Closed, checked.engine, server->entry.startedAt });
-    context.effects.emplace_back(
-        effect::ShareFinding { checked.engine, server->entry.startedAt, effect::ShareFinding::Finding::Closed });
+    context.effects.emplace_back(effect::LogServerState {
+        effect::LogServerState::ServerStateChange::Closed, checked.engine, server->entry.startedAt });
+    context.effects.emplace_back(effect::ReportEngineState {
+        checked.engine, server->entry.startedAt, effect::ReportEngineState::Finding::Closed });
 }
 
 void RelayReducer::on(const event::EnginesReportedClosed& reported, Context& context)
@@ -221,8 +221,8 @@
         if (server.isClosed(context.now) || std::find(keys.begin(), keys.end(), server.others.engine) == keys.end())
             continue;
         m_fleet.closed(id, context.now);
-        context.effects.emplace_back(
-            effect::NoteBelief { effect::NoteBelief::Belief::ReportedClosed, id, server.entry.startedAt });
+        context.effects.emplace_back(effect::LogServerState {
+            effect::LogServerState::ServerStateChange::ReportedClosed, id, server.entry.startedAt });
     }
 }
 
@@ -250,7 +250,7 @@
 {
     if (server.lastProgress + AssumedAliveAfterEvent > context.now || server.isDead(context.now))
         return;
-    server.sweptAt = context.now;
+    server.groupCheckedAt = context.now;
     checkUrgently(server, context);
 }
 
@@ -265,10 +265,11 @@
         if (!server)
             continue;
         const bool isKnownSinceFailure
-            = std::max(server->lastCheck, server->listedAt) >= m_lastCertainFailureAt.value_or(context.now);
+            = std::max(server->lastCheckAt, server->listedAt) >= m_lastCertainFailureAt.value_or(context.now);
         if (isWithinWindow && !isKnownSinceFailure)
             checkForGroupFailure(*server, context);
-        isCheckPending = isCheckPending || (server->beingChecked && context.now < server->sweptAt + MaxCheckWait);
+        isCheckPending
+            = isCheckPending || (server->beingChecked && context.now < server->groupCheckedAt + MaxCheckWait);
     }
     return isCheckPending;
 }
@@ -285,9 +286,9 @@
             checkUrgently(*m_fleet.find(id), context);
             continue;
         }
-        m_fleet.reportedDead(id, context.now);
-        context.effects.emplace_back(
-            effect::NoteBelief { effect::NoteBelief::Belief::ReportedDead, id, server.entry.startedAt });
+        m_fleet.recordReportedDead(id, context.now);
+        context.effects.emplace_back(effect::LogServerState {
+            effect::LogServerState::ServerStateChange::ReportedDead, id, server.entry.startedAt });
         abandonDeadEngine(id, context);
     }
 }
--- a/src/relay/RelayReducerCrashes.cpp
+++ b/src/relay/RelayReducerCrashes.cpp
@@ -23,14 +23,14 @@
     /// @return how strongly the end of a server suggests that an attempt there caused it
     CrashSign signOf(const Call& call, const Attempt& attempt)
     {
-        if (!attempt.wasSent || call.hasRunSoundly)
+        if (!attempt.wasSent || call.wasHarmless)
             return CrashSign::None;
         // A plain service sends its answer as a whole, so nothing shows when the server began to run the call.
         if (!isStream(call.route->kind))
             return CrashSign::JustBegun;
         if (!attempt.answerBegunAt)
             return CrashSign::Waiting;
-        const bool hasRun = attempt.eventsDelivered && call.lastProgress - *attempt.answerBegunAt >= SoundRun;
+        const bool hasRun = attempt.eventsDelivered && call.lastProgress - *attempt.answerBegunAt >= MinHarmlessRun;
         return hasRun ? CrashSign::None : CrashSign::JustBegun;
     }
 
@@ -43,7 +43,7 @@
 /// recently ran soundly
 CrashSign RelayReducer::crashSign(const Call& call, const Attempt& attempt) const
 {
-    return m_soundRequests.contains(call.identity) ? CrashSign::None : signOf(call, attempt);
+    return m_harmlessRequests.contains(call.identity) ? CrashSign::None : signOf(call, attempt);
 }
 
 /// Records an attempt that broke off, or that was cancelled at a server that may be dead. It becomes evidence against
@@ -77,7 +77,7 @@
         if (since == unsettled.end())
             continue;
         const bool isProbeDue = server.nextProbe && context.now >= *server.nextProbe;
-        if (server.lastCheck >= since->second && !isProbeDue)
+        if (server.lastCheckAt >= since->second && !isProbeDue)
             continue;
         if (server.isEngine())
             checkUrgently(*m_fleet.find(id), context);
@@ -93,7 +93,7 @@
     if (server.beingChecked || !service || service->healthPath.empty() || !m_checkBudget.spendUrgent())
         return;
     server.beingChecked = true;
-    server.lastCheck = context.now;
+    server.lastCheckAt = context.now;
     context.effects.emplace_back(effect::ProbeServer { server.entry.id, server.entry.address, service->healthPath });
 }
 
@@ -133,8 +133,8 @@
             consider(call, *call.second);
     }
     if (m_crashEvidence.noteEnded(server.others.engine, std::move(running), context.now, server.lastAliveAt))
-        context.effects.emplace_back(
-            effect::NoteBelief { effect::NoteBelief::Belief::ProcessEnded, server.entry.id, server.entry.startedAt });
+        context.effects.emplace_back(effect::LogServerState {
+            effect::LogServerState::ServerStateChange::ProcessEnded, server.entry.id, server.entry.startedAt });
 }
 
 /// Counts the server ends that are now known to be crashes, and shares them with the other instances.
@@ -144,7 +144,7 @@
     CrashEvidence::Findings findings = m_crashEvidence.settle(context.now);
     m_counters.crashesDismissed += findings.dismissed.size();
     for (const CrashReport& report : findings.dismissed)
-        context.effects.emplace_back(effect::NoteCrash { report, false });
+        context.effects.emplace_back(effect::LogCrash { report, false });
     for (const CrashReport& report : findings.crashes)
         countCrash(report, true, context);
     if (!findings.crashes.empty())
@@ -162,7 +162,7 @@
         return;
     ++m_counters.crashesCounted;
     if (isOwn)
-        context.effects.emplace_back(effect::NoteCrash { report, true });
+        context.effects.emplace_back(effect::LogCrash { report, true });
     if (change == RequestQuarantine::Change::Quarantined)
         quarantine(report.suspect.request, isOwn, context);
 }
@@ -195,7 +195,7 @@
         countCrash(report, false, context);
 }
 
-void RelayReducer::on(const event::SoundRequestsReported& reported, Context& context)
+void RelayReducer::on(const event::HarmlessRequestsReported& reported, Context& context)
 {
     for (const RequestIdentity& request : reported.requests)
         clearRequest(request, false, context);
@@ -227,21 +227,21 @@
 
 /// Records that a request is sound: it ran longer than a request that crashes its server, or to its end. Evidence from
 /// servers that ended while it was there is dropped.
-void RelayReducer::recordSoundRequest(Call& call, Context& context)
+void RelayReducer::recordHarmlessRequest(Call& call, Context& context)
 {
-    call.hasRunSoundly = true;
-    m_soundRequests.add(call.identity);
+    call.wasHarmless = true;
+    m_harmlessRequests.add(call.identity);
     if (!m_quarantine.empty() && clearRequest(call.identity, true, context))
-        context.effects.emplace_back(effect::ShareSoundRequest { call.identity });
+        context.effects.emplace_back(effect::ShareHarmlessRequest { call.identity });
 }
 
 /// Further attempts wait while this holds, because the next server could be one crash too many.
 /// @return whether server ends that are not settled yet may be enough to quarantine the request
 bool RelayReducer::awaitsCrashVerdict(const Call& call) const
 {
-    if (!countsCrashes() || call.hasRunSoundly)
+    if (!countsCrashes() || call.wasHarmless)
         return false;
-    const std::size_t open = m_crashEvidence.openCases(call.identity);
+    const std::size_t open = m_crashEvidence.unclassifiedEndCount(call.identity);
     const std::uint32_t each = RequestQuarantine::pointsOf(CrashSign::JustBegun);
     return open && m_quarantine.points(call.identity) + each * open >= RequestQuarantine::Limit;
 }
--- a/src/relay/RelayReducerMoves.cpp
+++ b/src/relay/RelayReducerMoves.cpp
@@ -141,7 +141,7 @@
         return false;
     call.nextResumeAt = context.now + ResumeInterval;
     RetryBudget& budget = budgetOf(call.service);
-    call.waitsForRetryBudget = !budget.hasOne();
+    call.waitsForRetryBudget = !budget.hasToken();
     if (call.waitsForRetryBudget || awaitsCrashVerdict(call) || retryLimit(call, context) || !place(call, context))
         return false;
     budget.spend();
--- a/src/relay/RelayReducerPlacing.cpp
+++ b/src/relay/RelayReducerPlacing.cpp
@@ -141,10 +141,10 @@
 /// @return the share of the retry burst, from 0 to 1, that is granted at the present age of the process
 double RelayReducer::retryBurstShare() const
 {
-    if (m_options.retryRipening.count() <= 0)
+    if (m_options.retryBurstRampUp.count() <= 0)
         return 1;
     const double age = std::chrono::duration<double>(m_now - m_startedAt.value_or(m_now)).count();
-    return std::min(1.0, age / std::chrono::duration<double>(m_options.retryRipening).count());
+    return std::min(1.0, age / std::chrono::duration<double>(m_options.retryBurstRampUp).count());
 }
 
 /// @return the retry budget of a service, which is created on first use
@@ -166,7 +166,7 @@
             return false;
         const TimePoint until = server->second.avoidUntil;
         return now
-            < (call.hasPartialAnswer ? std::min(until, server->second.turnedAwayAt + MaxAnswerRetryPause) : until);
+            < (call.hasPartialAnswer ? std::min(until, server->second.lastRejectedAt + MaxAnswerRetryPause) : until);
     });
 }
 
--- a/src/relay/RelayReducerServers.cpp
+++ b/src/relay/RelayReducerServers.cpp
@@ -27,7 +27,7 @@
 /// Processes a server's entry, which may be new, changed or outdated, or not fit the configuration.
 void RelayReducer::registerServer(const RegisteredServer& server, Context& context)
 {
-    using Belief = effect::NoteBelief::Belief;
+    using ServerStateChange = effect::LogServerState::ServerStateChange;
     if (!isUsable(server)) {
         keepUnusableEntry(server, context);
         return;
@@ -38,12 +38,14 @@
     const Registration registration = m_fleet.upsert(server, context.now);
     if (registration.outdated) {
         ++m_counters.entriesOutdated;
-        context.effects.emplace_back(effect::NoteBelief { Belief::EntryOutdated, server.id, server.startedAt });
+        context.effects.emplace_back(
+            effect::LogServerState { ServerStateChange::EntryOutdated, server.id, server.startedAt });
         return;
     }
     for (const FleetServer& ended : registration.ended) {
         ++m_counters.startsEnded;
-        context.effects.emplace_back(effect::NoteBelief { Belief::StartEnded, ended.entry.id, server.startedAt });
+        context.effects.emplace_back(
+            effect::LogServerState { ServerStateChange::StartEnded, ended.entry.id, server.startedAt });
         m_moveOffAt.erase(ended.entry.id);
         recordServerEnded(ended, context);
         abandonEndedServer(ended.entry.id, context);
@@ -70,8 +72,8 @@
 void RelayReducer::keepUnusableEntry(const RegisteredServer& server, Context& context)
 {
     ++m_counters.entriesUnusable;
-    context.effects.emplace_back(
-        effect::NoteBelief { effect::NoteBelief::Belief::EntryUnusable, server.id, server.startedAt });
+    context.effects.emplace_back(effect::LogServerState {
+        effect::LogServerState::ServerStateChange::EntryUnusable, server.id, server.startedAt });
     if (m_fleet.find(server.id))
         on(event::ServerUnregistered { server.id }, context);
     if (m_unusable.size() < MaxUnusableEntries)
@@ -85,7 +87,8 @@
     if (const FleetServer* server = m_fleet.find(gone.server); server && server->unansweredChecks)
         recordServerEnded(*server, context);
     if (m_fleet.remove(gone.server, context.now))
-        context.effects.emplace_back(effect::NoteBelief { effect::NoteBelief::Belief::Reinstated, gone.server, {} });
+        context.effects.emplace_back(
+            effect::LogServerState { effect::LogServerState::ServerStateChange::Reinstated, gone.server, {} });
     // Servers that leave without notice also keep serving for a while.
     m_moveOffAt.try_emplace(gone.server, context.now + m_options.rerouteDelay);
 }
@@ -221,7 +224,7 @@
     if (!isRepeatable(call.route->kind))
         return;
     if (awaitsCrashVerdict(call) || countedAttempts(call) + countedForMain >= call.route->maxAttempts
-        || retryLimit(call, context) || !budgetOf(call.service).hasOne())
+        || retryLimit(call, context) || !budgetOf(call.service).hasToken())
         return;
     auto next = startAttempt(call, AttemptPurpose::LostStage, context);
     if (!next)
--- a/src/relay/RelayReducerTime.cpp
+++ b/src/relay/RelayReducerTime.cpp
@@ -24,7 +24,7 @@
 void RelayReducer::on(const event::Tick&, Context& context)
 {
     for (auto& [service, budget] : m_budgets)
-        budget.ripen(retryBurstShare());
+        budget.raiseBurstShare(retryBurstShare());
     m_checkBudget.earn(m_fleet.servers().size(), m_placer.instances(), context.now);
     admitEarlyCalls(context);
     refuseOverdue(context);
@@ -84,7 +84,7 @@
     if (!call.hasFailedAttempt())
         return std::nullopt;
     const auto limit = retryLimit(call, context);
-    const bool isBudgetSpent = call.interruptionReason && !budgetOf(call.service).hasOne();
+    const bool isBudgetSpent = call.interruptionReason && !budgetOf(call.service).hasToken();
     return limit.value_or(isBudgetSpent ? RetryLimit::Budget : RetryLimit::NoServer);
 }
 
@@ -116,7 +116,7 @@
     }
     // An instance with few streams cannot tell by itself which stage has stalled.
     askStalledStage(call, context);
-    if (call.main.stallQueries == 1 && context.now < call.main.lastStallQueryAt + m_options.questionInterval)
+    if (call.main.stallQueries == 1 && context.now < call.main.lastStallQueryAt + m_options.stallQueryInterval)
         return; // The first stage may still name the stalled one.
     const Duration limit = call.hasPartialAnswer ? m_options.minStall : m_options.firstEventLimit;
     if (stalled.empty() && context.now - call.lastProgress < limit * UnexplainedStallFactor)
@@ -131,8 +131,8 @@
 {
     Attempt& attempt = call.main;
     if (m_options.without.has(Mechanism::StallQuestions) || attempt.chain.hops().empty()
-        || attempt.stallQueries >= m_options.mostQuestions
-        || context.now < attempt.lastStallQueryAt + m_options.questionInterval)
+        || attempt.stallQueries >= m_options.maxStallQueries
+        || context.now < attempt.lastStallQueryAt + m_options.stallQueryInterval)
         return;
     ++attempt.stallQueries;
     attempt.lastStallQueryAt = context.now;
@@ -140,7 +140,7 @@
     context.effects.emplace_back(effect::AskStalledStage { attempt.id, call.id, attempt.chain.hops().front().address });
 }
 
-void RelayReducer::on(const event::StalledStageNamed& named, Context& context)
+void RelayReducer::on(const event::StalledStageReported& named, Context& context)
 {
     Call* call = findByAttempt(named.attempt);
     if (!call || call->main.id != named.attempt)
@@ -169,7 +169,7 @@
         return false;
     RetryBudget& budget = budgetOf(call.service);
     if (awaitsCrashVerdict(call) || countedAttempts(call) + 1 >= call.route->maxAttempts || retryLimit(call, context)
-        || isRetryReserved(call.service) || !budget.hasOne())
+        || isRetryReserved(call.service) || !budget.hasToken())
         return false;
     call.second = startAttempt(call, purpose, context);
     if (!call.second)
@@ -198,7 +198,7 @@
     const FleetServer* first = m_fleet.find(attempt.server);
     const bool acceptsReroutes = !first || !first->refusedCheck;
     if (m_options.without.has(Mechanism::Reroutes) || awaitsCrashVerdict(call) || leavesFirstStage || !acceptsReroutes
-        || attempt.rerouteCount >= m_options.mostReroutes)
+        || attempt.rerouteCount >= m_options.maxReroutes)
         return MoveResult::Impossible;
     auto chain = m_placer.reroute(call, attempt, excluded, context.now, context.entropy);
     if (!chain)
--- a/src/relay/RequestIdentity.cpp
+++ b/src/relay/RequestIdentity.cpp
@@ -5,7 +5,7 @@
 
 namespace crocusmount::relay {
 
-std::string ContentDigest::toText() const { return absl::BytesToHexString(toBytes()); }
+std::string ContentDigest::toHex() const { return absl::BytesToHexString(toBytes()); }
 
 ContentDigest ContentDigest::fromBytes(const std::string& bytes)
 {
--- a/src/relay/RequestIdentity.h
+++ b/src/relay/RequestIdentity.h
@@ -20,7 +20,7 @@
     bool operator==(const ContentDigest&) const = default;
 
     /// @return the digest as lower-case hexadecimal digits
-    std::string toText() const;
+    std::string toHex() const;
     /// @param bytes  a digest as returned by toBytes
     /// @return the digest, or an all-zero digest if the length is not Size
     static ContentDigest fromBytes(const std::string& bytes);
--- a/src/relay/RetryLimit.h
+++ b/src/relay/RetryLimit.h
@@ -8,7 +8,7 @@
 enum class RetryLimit {
     NotRepeatable, ///< the call may have run, and its route allows only one run
     Attempts, ///< as many attempts as the route allows may have run the call
-    Rejections, ///< RelayOptions::mostRejections attempts could not connect or were rejected
+    Rejections, ///< RelayOptions::maxRejections attempts could not connect or were rejected
     Deadline, ///< the call's deadline has passed
     Budget, ///< the service's retry budget is spent
     NoServer, ///< no server with capacity was found in time
--- a/src/relay/RouteTable.cpp
+++ b/src/relay/RouteTable.cpp
@@ -19,7 +19,7 @@
         std::stable_sort(routes.begin(), routes.end(),
             [](const Route* a, const Route* b) { return a->prefix.size() > b->prefix.size(); });
     }
-    for (const KeyHolder& holder : m_configuration.workspaces) {
+    for (const WorkspaceKeys& holder : m_configuration.workspaces) {
         for (const std::string& key : holder.keys)
             m_holderByKey[key] = &holder;
     }
@@ -39,7 +39,7 @@
     return nullptr;
 }
 
-const KeyHolder* RouteTable::holderOf(const std::string& key) const
+const WorkspaceKeys* RouteTable::workspaceByKey(const std::string& key) const
 {
     const auto found = m_holderByKey.find(key);
     return found == m_holderByKey.end() ? nullptr : found->second;
--- a/src/relay/RouteTable.h
+++ b/src/relay/RouteTable.h
@@ -16,7 +16,7 @@
     /// @return the route of the host with the longest matching path prefix, or null
     const Route* route(const std::string& host, const std::string& path) const;
     /// @return the workspace settings that belong to an API key, or null if the key is unknown
-    const KeyHolder* holderOf(const std::string& key) const;
+    const WorkspaceKeys* workspaceByKey(const std::string& key) const;
     /// @return the service, or null if unknown
     const Service* service(const ServiceId&) const;
     /// @param entropy  uniformly random
@@ -30,7 +30,7 @@
 
     ServiceConfiguration m_configuration;
     absl::flat_hash_map<std::string, std::vector<const Route*>> m_routesByHost; ///< longest prefix first
-    absl::flat_hash_map<std::string, const KeyHolder*> m_holderByKey;
+    absl::flat_hash_map<std::string, const WorkspaceKeys*> m_holderByKey;
     absl::flat_hash_map<std::string, const Service*> m_services;
 };
 
--- a/src/relay/ServerFleet.cpp
+++ b/src/relay/ServerFleet.cpp
@@ -164,13 +164,13 @@
     return loads;
 }
 
-void ServerFleet::progressed(const Chain& chain, TimePoint now)
+void ServerFleet::recordProgress(const Chain& chain, TimePoint now)
 {
     for (const Hop& hop : chain.hops()) {
         if (FleetServer* server = find(hop.backend)) {
             server->lastProgress = now;
             server->lastAliveAt = now;
-            server->rejectionsInRow = 0;
+            server->consecutiveRejections = 0;
             server->unhealthyUntil = {};
         }
     }
@@ -212,12 +212,13 @@
     FleetServer* server = find(id);
     if (!server)
         return;
-    server->turnedAwayAt = now;
+    server->lastRejectedAt = now;
     server->closedCheckDue = true;
     m_checkCandidates.insert(id);
-    const TimePoint until = now + FirstRejectionAvoidance * (1U << std::min(server->rejectionsInRow, MaxDoublings));
+    const TimePoint until
+        = now + FirstRejectionAvoidance * (1U << std::min(server->consecutiveRejections, MaxDoublings));
     server->avoidUntil = std::max(server->avoidUntil, until);
-    if (++server->rejectionsInRow >= UnhealthyRejections)
+    if (++server->consecutiveRejections >= UnhealthyRejections)
         server->unhealthyUntil = server->avoidUntil;
 }
 
@@ -225,7 +226,7 @@
 {
     for (const Hop& hop : chain.hops()) {
         if (FleetServer* server = find(hop.backend))
-            server->acceptedAt = now;
+            server->lastAcceptedAt = now;
     }
 }
 
@@ -235,13 +236,13 @@
         server->closedUntil = now + ClosedPause;
 }
 
-void ServerFleet::answeredCheck(const BackendId& id, double slowness)
+void ServerFleet::recordAnsweredCheck(const BackendId& id, double slowness)
 {
     FleetServer* server = find(id);
     if (!server)
         return;
     server->beingChecked = false;
-    server->lastAliveAt = std::max(server->lastAliveAt, server->lastCheck);
+    server->lastAliveAt = std::max(server->lastAliveAt, server->lastCheckAt);
     server->slowness = std::max(1.0, slowness);
     m_checkCandidates.insert(id);
     server->deadUntil = {};
@@ -249,7 +250,7 @@
     server->refusedCheck = false;
 }
 
-void ServerFleet::missedCheck(const BackendId& id, bool refused, TimePoint now)
+void ServerFleet::recordMissedCheck(const BackendId& id, bool refused, TimePoint now)
 {
     FleetServer* server = find(id);
     if (!server)
@@ -263,7 +264,7 @@
     suspect(id, server->deadUntil);
 }
 
-void ServerFleet::reportedDead(const BackendId& id, TimePoint now)
+void ServerFleet::recordReportedDead(const BackendId& id, TimePoint now)
 {
     FleetServer* server = find(id);
     if (!server)
--- a/src/relay/ServerFleet.h
+++ b/src/relay/ServerFleet.h
@@ -22,7 +22,7 @@
     EngineLoad others; ///< load of the other instances' calls by the last reports; its engine key is always set
     double failureRate = 0; ///< moving average of the fraction of attempts that failed
     std::uint32_t consecutiveFailures = 0;
-    std::uint32_t rejectionsInRow = 0; ///< calls rejected since the last event of any call through this server
+    std::uint32_t consecutiveRejections = 0; ///< calls rejected since the last event of any call through this server
     TimePoint avoidUntil; ///< until then, new work goes to other servers where possible
     /// End of the last avoidance due to a sign that this server accepts no calls at all, not just that it is full.
     /// Until then, this instance reports to others that it avoids the server.
@@ -31,16 +31,16 @@
     TimePoint lastAliveAt; ///< last event, start of an answer, or sending of a health check that was answered
     double slowness = 1; ///< last reported step time as a multiple of the usual one of its accelerator
     TimePoint listedAt; ///< last change of the registry entry, which the server wrote shortly before
-    TimePoint lastCheck; ///< when the last health check or probe was sent
+    TimePoint lastCheckAt; ///< when the last health check or probe was sent
     bool beingChecked = false; ///< whether a health check or probe is in flight
     std::optional<TimePoint> nextProbe; ///< when to repeat a probe that could not tell whether the server is alive
-    TimePoint sweptAt; ///< when this server was last suspected of having died together with another engine
+    TimePoint groupCheckedAt; ///< when this server was last suspected of having died together with another engine
     TimePoint deadUntil; ///< until then, considered dead after an unanswered health check or another instance's report
     std::uint32_t unansweredChecks = 0; ///< consecutive unanswered health checks
     bool refusedCheck = false; ///< the last health check was refused: no process listens there, so the server is dead
 
-    TimePoint turnedAwayAt; ///< when this server last rejected a call of this instance
-    TimePoint acceptedAt; ///< when a new call through this server last had its first event
+    TimePoint lastRejectedAt; ///< when this server last rejected a call of this instance
+    TimePoint lastAcceptedAt; ///< when a new call through this server last had its first event
     bool closedCheckDue = false; ///< whether to ask if this server had free capacity when it last rejected a call
     TimePoint closedUntil; ///< until then, no new calls are sent: the server rejects them despite free capacity
 
@@ -95,7 +95,7 @@
     std::vector<EngineLoad> ownLoads(TimePoint now) const;
 
     /// Records an event of a call that runs through a chain.
-    void progressed(const Chain&, TimePoint now);
+    void recordProgress(const Chain&, TimePoint now);
     /// Records the start of an attempt's answer, which shows that its server and all stages of its chain were alive.
     void answerBegun(const BackendId&, const Chain&, TimePoint now);
 
@@ -116,13 +116,13 @@
     void suspect(const BackendId&, TimePoint until);
     /// Records the answer of an engine to a health check.
     /// @param slowness  as reported by the engine
-    void answeredCheck(const BackendId&, double slowness);
+    void recordAnsweredCheck(const BackendId&, double slowness);
     /// Records an unanswered health check. The engine is considered dead for a time that grows with consecutive
     /// unanswered checks.
     /// @param refused  whether the connection was refused, which means that no process listens there
-    void missedCheck(const BackendId&, bool refused, TimePoint now);
+    void recordMissedCheck(const BackendId&, bool refused, TimePoint now);
     /// Records another instance's report that an engine is dead, if a silent stream of this instance confirms it.
-    void reportedDead(const BackendId&, TimePoint now);
+    void recordReportedDead(const BackendId&, TimePoint now);
 
 private:
     std::map<BackendId, FleetServer> m_servers;
--- a/src/relay/ServiceConfiguration.h
+++ b/src/relay/ServiceConfiguration.h
@@ -87,7 +87,7 @@
 };
 
 /// A workspace with its API keys.
-struct KeyHolder {
+struct WorkspaceKeys {
     WorkspaceId workspace;
     std::vector<std::string> keys; ///< API keys
     std::optional<int> rank; ///< overrides Route::rank
@@ -98,7 +98,7 @@
     std::uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<Service> services;
-    std::vector<KeyHolder> workspaces; ///< if empty, calls need no API key
+    std::vector<WorkspaceKeys> workspaces; ///< if empty, calls need no API key
     CallLimits limits;
 };
 
--- a/src/requests/RequestTable.h
+++ b/src/requests/RequestTable.h
@@ -55,7 +55,7 @@
     /// neither a queue nor the capacity has changed.
     void dispatch(const Event&, Effects&);
     /// Called when a backend server or peer reported, so that queued requests may be dispatched now.
-    void roomMayHaveChanged() { unblockQueues(); }
+    void capacityMayHaveChanged() { unblockQueues(); }
 
     /// @return the number of unfinished requests, without those that joined another
     std::size_t open() const { return m_requests.size(); }
--- a/src/routing/BackendTable.cpp
+++ b/src/routing/BackendTable.cpp
@@ -90,7 +90,7 @@
     return changed && hadReport;
 }
 
-bool BackendTable::probeMissed(const BackendId& id)
+bool BackendTable::recordMissedProbe(const BackendId& id)
 {
     Entry* entry = find(id);
     if (!entry || ++entry->missedProbes < m_options.unreachableAfter || !entry->isReachable)
@@ -100,7 +100,7 @@
     return true;
 }
 
-void BackendTable::heardUnreachable(const BackendId& id, std::uint64_t sequence)
+void BackendTable::markUnreachableByPeer(const BackendId& id, std::uint64_t sequence)
 {
     Entry* entry = find(id);
     if (!entry || sequence < entry->sequence)
@@ -117,7 +117,7 @@
     }
 }
 
-void BackendTable::distrustReports()
+void BackendTable::expireReports()
 {
     for (Entry& entry : m_entries)
         entry.reportedAt = TimePoint();
--- a/src/routing/BackendTable.h
+++ b/src/routing/BackendTable.h
@@ -31,14 +31,14 @@
     bool report(const BackendReport&, TimePoint asked, TimePoint now, std::uint64_t sequence);
     /// Counts a missed probe.
     /// @return whether the server became unreachable with this probe
-    bool probeMissed(const BackendId&);
+    bool recordMissedProbe(const BackendId&);
     /// Marks a server unreachable because a peer reported so, unless a later report has arrived.
-    void heardUnreachable(const BackendId&, std::uint64_t sequence);
+    void markUnreachableByPeer(const BackendId&, std::uint64_t sequence);
     /// Marks a server unreachable after a failed attempt. It gets no new work until a report arrives.
     void suspect(const BackendId&);
 
     /// Expires all reports. A server gets no new work until a newer report arrives.
-    void distrustReports();
+    void expireReports();
 
     /// Counts a stream of this instance on each stage of its chain.
     void streamStarted(const Chain&);
--- a/tests/CrashFleet.cpp
+++ b/tests/CrashFleet.cpp
@@ -95,11 +95,11 @@
     for (const RelayEffect& effect : effects) {
         if (const auto* crashes = std::get_if<effect::ShareCrashes>(&effect)) {
             broadcast(instance, event::CrashesReported { crashes->crashes });
-        } else if (const auto* finding = std::get_if<effect::ShareFinding>(&effect)) {
-            if (finding->finding == effect::ShareFinding::Finding::Dead)
+        } else if (const auto* finding = std::get_if<effect::ReportEngineState>(&effect)) {
+            if (finding->finding == effect::ReportEngineState::Finding::Dead)
                 broadcast(instance, event::EnginesReportedDead { { engineKey(finding->engine, finding->startedAt) } });
-        } else if (const auto* harmless = std::get_if<effect::ShareSoundRequest>(&effect)) {
-            broadcast(instance, event::SoundRequestsReported { { harmless->request } });
+        } else if (const auto* harmless = std::get_if<effect::ShareHarmlessRequest>(&effect)) {
+            broadcast(instance, event::HarmlessRequestsReported { { harmless->request } });
         } else if (const auto* verdict = std::get_if<effect::QuarantineRequest>(&effect)) {
             if (m_storedVerdicts.insert(verdict->request).second) {
                 for (std::size_t each = 0; each < m_instances.size(); ++each)
@@ -172,7 +172,7 @@
     spec.host = "h.example";
     spec.path = "/draft/1";
     spec.key = "key";
-    spec.patience = std::chrono::seconds(20);
+    spec.callerTimeout = std::chrono::seconds(20);
     spec.promptTokens = 100;
     spec.maxAnswerTokens = 50;
     if (crashingNumber >= 0) {
--- a/tests/CrashingRequestTest.cpp
+++ b/tests/CrashingRequestTest.cpp
@@ -115,7 +115,7 @@
 }
 
 // Guards against crashing requests that keep ending the streams of harmless requests after they have been detected.
-TEST(CrashingRequest, CostsSoundStreamsOnlyWhatEndsBeforeItIsKnown)
+TEST(CrashingRequest, EndsNoHarmlessStreamOnceItIsDetected)
 {
     constexpr Duration ArrivalGap = milliseconds(20);
     constexpr Duration RestartTime = seconds(3);
@@ -153,7 +153,7 @@
 
 // Guards against harmless requests that are quarantined because engines crash, in groups or one at a time, for reasons
 // other than a request.
-TEST(CrashingRequest, NoSoundRequestIsBlamedForTheLossOfEngines)
+TEST(CrashingRequest, NoHarmlessRequestIsQuarantinedForTheLossOfEngines)
 {
     const struct {
         const char* name;
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -523,7 +523,7 @@
 // Guards against a copy that stays behind its peer because its watch hangs. After an outage of 8 s the watch of one
 // instance hung, and the instance missed one datagram with a configuration. It applied the old configuration for more
 // than 3 s, although its peer had reported a later revision. Found by scc-faq-grown trouble-3.
-TEST(Edge, ACopyWhoseWatchHangsReadsWhatItsPeerHas)
+TEST(Edge, CopyWithStalledWatchReadsStoreWhenPeerIsAhead)
 {
     MirrorFixture fixture;
     fixture.runUntilWatching();
@@ -552,7 +552,7 @@
 // a wait of 20 s when an outage of 8 s began. The store's machine kept acknowledging packets, so nothing ended the
 // watch when the store was back. A confirmed change was in force 13 s late on that instance (store_lost with silent_ms
 // 22301), while the other instances applied it immediately.
-TEST(Edge, AWatchOfAStoreThatFellSilentEndsBeforeAChangeIsDue)
+TEST(Edge, WatchOfSilentStoreEndsBeforeChangeIsDue)
 {
     constexpr std::int64_t ChangeIsDueMs = 2000;
     net::io_context context(BOOST_ASIO_CONCURRENCY_HINT_UNSAFE);
--- a/tests/EngineCheckTest.cpp
+++ b/tests/EngineCheckTest.cpp
@@ -94,9 +94,9 @@
 {
     RelayHarness harness;
     harness.send(relay::event::EngineChecked { BackendId("a"), false, 1 });
-    CHECK_TRUE(harness.last<relay::effect::ShareFinding>()->engine == BackendId("a"));
+    CHECK_TRUE(harness.last<relay::effect::ReportEngineState>()->engine == BackendId("a"));
     harness.send(relay::event::EngineChecked { BackendId("a"), false, 1 });
-    CHECK_FALSE(harness.last<relay::effect::ShareFinding>().has_value());
+    CHECK_FALSE(harness.last<relay::effect::ReportEngineState>().has_value());
 }
 
 TEST(EngineCheck, AReportedDeadEngineIsLeftWithoutACheckOnlyIfAnOwnStreamIsSilent)
@@ -227,7 +227,7 @@
     harness->send(relay::event::AttemptEnded { start.attempt, AttemptResult::NotRun, 503, address });
     // The check for its death is sent at once, so the answer describes the engine before the rejection.
     harness->send(relay::event::EngineChecked { engine, true, 1, false, {}, {}, {}, 0, 0.1 });
-    CHECK_FALSE(harness->last<relay::effect::ShareFinding>().has_value());
+    CHECK_FALSE(harness->last<relay::effect::ReportEngineState>().has_value());
     harness->tick(milliseconds(310));
     harness->send(relay::event::EngineChecked { engine, true, 1, false, {}, {}, {}, queued, memoryUsed });
     return harness;
@@ -255,11 +255,11 @@
     const BackendId engine("b");
     for (const auto& each : cases) {
         const auto harness = harnessAfterRejection(engine, each.queued, each.memoryUsed);
-        const auto report = harness->last<relay::effect::ShareFinding>();
+        const auto report = harness->last<relay::effect::ReportEngineState>();
         CHECK_EQUAL_TEXT(each.isClosed, report.has_value(), each.name);
         if (!report)
             continue;
-        CHECK_TRUE_TEXT(report->finding == relay::effect::ShareFinding::Finding::Closed, each.name);
+        CHECK_TRUE_TEXT(report->finding == relay::effect::ReportEngineState::Finding::Closed, each.name);
         CHECK_TRUE_TEXT(report->engine == engine, each.name);
         for (int i = 0; i < 12; ++i)
             CHECK_FALSE_TEXT(harness->running("/draft/1").chain.contains(engine), each.name);
@@ -282,7 +282,7 @@
     harness.events(next.attempt, 1, 1);
     harness.tick(milliseconds(310));
     harness.send(relay::event::EngineChecked { last.backend, true, 1, false, {}, {}, {}, 0, 0.1 });
-    CHECK_FALSE(harness.last<relay::effect::ShareFinding>().has_value());
+    CHECK_FALSE(harness.last<relay::effect::ReportEngineState>().has_value());
 }
 
 TEST(EngineCheck, AnEngineReportedClosedGetsNoCallsForTwoSeconds)
--- a/tests/PeerLinkTest.cpp
+++ b/tests/PeerLinkTest.cpp
@@ -158,7 +158,7 @@
 // data centre also ignored changes from peers. In a replay of such an outage of 20 s on six instances, a
 // configuration was confirmed at 12.02 s. It was in force on four of them at 12.02 s, and on the two others at 24.05
 // and 24.40 s. Until then these two answered valid calls with 401.
-TEST(PeerLink, AnInstanceThatTheStoreTurnsAwayLearnsOfAConfirmedChangeFromItsPeers)
+TEST(PeerLink, InstanceRejectedByStoreLearnsConfirmedChangesFromPeers)
 {
     constexpr std::size_t LargerThanDatagram = 200'000;
     const struct {
--- a/tests/PlacementTest.cpp
+++ b/tests/PlacementTest.cpp
@@ -311,7 +311,7 @@
     for (const auto& each : cases) {
         HolderWeights weights(model, each.meanSlowness);
         DOUBLES_EQUAL_TEXT(each.weight, weights.weight(each.holder, each.placed), 1e-9, each.name);
-        weights.countAllAlike();
+        weights.weighAllEqually();
         DOUBLES_EQUAL_TEXT(1, weights.weight(each.holder, each.placed), 1e-9, each.name);
     }
 }
--- a/tests/RelayHarness.cpp
+++ b/tests/RelayHarness.cpp
@@ -93,7 +93,7 @@
     spec.host = "h.example";
     spec.path = path;
     spec.key = key;
-    spec.patience = std::chrono::seconds(20);
+    spec.callerTimeout = std::chrono::seconds(20);
     spec.promptTokens = 100;
     spec.maxAnswerTokens = 50;
     // Each call has content of its own, so that none counts as the repeat of another one.
--- a/tests/RelayReducerTest.cpp
+++ b/tests/RelayReducerTest.cpp
@@ -114,7 +114,7 @@
     const auto next = harness.last<relay::effect::StartAttempt>();
     CHECK_TRUE(next.has_value());
     CHECK_FALSE(next->chain.contains(last.backend));
-    CHECK_TRUE(harness.reducer().fleet().servers().at(start.server).rejectionsInRow == 0);
+    CHECK_TRUE(harness.reducer().fleet().servers().at(start.server).consecutiveRejections == 0);
 }
 
 // Guards against a retry burst that is computed from the instance count at the first call and never updated.
@@ -408,7 +408,7 @@
         spec.host = "h.example";
         spec.path = "/look/1";
         spec.key = "key";
-        spec.patience = milliseconds(each.patienceMs);
+        spec.callerTimeout = milliseconds(each.patienceMs);
         reduce(relay::event::CallArrived { RequestId(1), spec });
         CHECK_TRUE_TEXT(effects.empty(), each.name);
         for (const TimePoint end = now + milliseconds(each.configuredAfterMs); now < end; now += milliseconds(5))
@@ -436,7 +436,7 @@
 
 // Guards against calls that keep going to a stage without the layers of its entry. Seen in incident 23f4 of
 // odpoklic-lj: an engine that restarted without its layers rejected 146 calls in two seconds.
-TEST(RelayReducer, AStageThatDoesNotHoldItsPartIsLeftAlone)
+TEST(RelayReducer, AStageWithoutItsLayersIsAvoided)
 {
     RelayHarness harness;
     const auto start = harness.running("/draft/1");
@@ -470,7 +470,7 @@
     CHECK_TEXT(start.address, question->address);
     CHECK_FALSE(harness.last<relay::effect::StartAttempt>().has_value());
     const Hop last = start.chain.hops().back();
-    harness.send(relay::event::StalledStageNamed { start.attempt, last.address });
+    harness.send(relay::event::StalledStageReported { start.attempt, last.address });
     const auto order = harness.last<relay::effect::RerouteAttempt>();
     CHECK_TRUE(order.has_value());
     CHECK_FALSE(order->chain.contains(last.backend));
@@ -485,7 +485,7 @@
     const std::size_t stages = start.chain.hops().size();
     harness.tick(milliseconds(600));
     if (stages > 2) {
-        harness.send(relay::event::StalledStageNamed { start.attempt, "" });
+        harness.send(relay::event::StalledStageReported { start.attempt, "" });
         harness.tick(milliseconds(220));
     }
     CHECK_TRUE(harness.last<relay::effect::StartAttempt>().has_value());
--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -102,7 +102,7 @@
     CHECK_TRUE(quarantine.isQuarantined(request(1), at(minutes(1))));
 }
 
-TEST(RequestQuarantine, WhatASingleInstanceSeesTellsACrashFromOtherEnds)
+TEST(RequestQuarantine, EvidenceOfOneInstanceTellsACrashFromOtherEnds)
 {
     const CrashSuspect suspect { request(1), CrashSign::JustBegun };
     using Steps = std::function<void(CrashEvidence&)>;
@@ -194,7 +194,7 @@
         const auto findings = evidence.settle(at(milliseconds(4000)));
         CHECK_EQUAL_TEXT(each.crashes, findings.crashes.size(), each.name);
         CHECK_EQUAL_TEXT(each.dismissed, findings.dismissed.size(), each.name);
-        CHECK_EQUAL_TEXT(0U, evidence.openCases(request(1)), each.name);
+        CHECK_EQUAL_TEXT(0U, evidence.unclassifiedEndCount(request(1)), each.name);
         CHECK_TRUE_TEXT(evidence.settle(at(milliseconds(4300))).crashes.empty(), each.name);
     }
 }
@@ -280,7 +280,7 @@
 
 // Guards against crashes that are not counted because a proxy in front of a server accepts the connection of each
 // probe. The server behind it had ended but was considered alive, so the request was never quarantined.
-TEST(RequestQuarantine, AnEndThatAProbeDoesNotShowIsCountedOnceTheNextStartIsRegistered)
+TEST(RequestQuarantine, ACrashThatAProbeMissesIsCountedOnceTheNextStartRegisters)
 {
     using Finding = relay::event::ServerProbed::Finding;
     const struct {
--- a/tests/ServerStartTest.cpp
+++ b/tests/ServerStartTest.cpp
@@ -390,7 +390,7 @@
                 budget = RetryBudget(0, Share, 0);
                 lastStart = step;
             }
-            budget.ripen(std::min(1.0, (step - lastStart) * WindowSeconds / Steps / WindowSeconds));
+            budget.raiseBurstShare(std::min(1.0, (step - lastStart) * WindowSeconds / Steps / WindowSeconds));
             while (budget.spend())
                 ++retries;
         }
@@ -402,7 +402,7 @@
 TEST(ServerStart, TheRetryBudgetOfANewInstanceGrowsAfterItsStart)
 {
     RelayOptions options;
-    options.retryRipening = std::chrono::seconds(10);
+    options.retryBurstRampUp = std::chrono::seconds(10);
     options.retryRatio = 0;
     options.retrySlack = 8;
     const struct {
