--- a/programs/crocusmount-entry.cpp
+++ b/programs/crocusmount-entry.cpp
@@ -143,7 +143,7 @@
         gauges.storeAgeMs = m_mirror.age().count();
         gauges.storeCalls = m_store.calls();
         gauges.logLinesDropped = relay::DecisionLog::dropped();
-        gauges.quarantined = reducer.quarantine().quarantined(m_node.now());
+        gauges.quarantined = reducer.quarantine().quarantinedCount(m_node.now());
         gauges.fedByPeer = m_mirror.isFed();
         gauges.unreadableValues = m_follower.unreadable() + m_registry.unreadable() + m_quarantine.unreadable();
         if (m_peerLink) {
@@ -189,7 +189,7 @@
             co_await timer.async_wait(net::as_tuple(useAwaitable));
             if (Clock::now() > start + CloseIdleAfter)
                 m_front->closeIdle();
-            if (Clock::now() > start + LingerAfterDrain && !m_front->busy())
+            if (Clock::now() > start + LingerAfterDrain && !m_front->busyCalls())
                 break;
         }
         relay::DecisionLog::state("stop", { { "open_calls", m_node.reducer().openCalls() } });
--- a/src/admission/RetryBudget.h
+++ b/src/admission/RetryBudget.h
@@ -39,7 +39,7 @@
     }
 
     /// Adds the tokens for one request.
-    void earn() { m_tokens = std::min(m_capacity, m_tokens + m_tokensPerRequest); }
+    void addRequest() { m_tokens = std::min(m_capacity, m_tokens + m_tokensPerRequest); }
 
     /// @return whether one more retry is allowed
     bool hasToken() const { return m_tokens >= 1; }
--- a/src/core/Reducer.cpp
+++ b/src/core/Reducer.cpp
@@ -40,7 +40,7 @@
 
 std::vector<BackendNews> Reducer::backends(TimePoint now) const { return m_state->backends().news(now); }
 
-std::size_t Reducer::openRequests() const { return m_state->requests().open(); }
+std::size_t Reducer::openRequests() const { return m_state->requests().openRequestCount(); }
 
 bool Reducer::isDraining() const { return m_state->isDraining(); }
 
--- a/src/core/ReducerState.cpp
+++ b/src/core/ReducerState.cpp
@@ -143,7 +143,7 @@
 {
     const auto news = m_backends.newsOf(id, now);
     if (news && m_plan.watched().contains(id))
-        m_membership.spread({ *news }, effects);
+        m_membership.broadcast({ *news }, effects);
 }
 
 void ReducerState::updatePlan(TimePoint now)
@@ -158,8 +158,8 @@
         std::string group = absl::StrCat(report.model, "/", report.layers.begin, "-", report.layers.end);
         backends.push_back({ report.backend, std::move(group), news.reachable });
     }
-    m_plan = WatchPlan::make(
-        m_options.self.instance, m_membership.live(), backends, m_options.watchersPerBackend, m_options.subsetPerGroup);
+    m_plan = WatchPlan::make(m_options.self.instance, m_membership.liveMembers(), backends,
+        m_options.watchersPerBackend, m_options.subsetPerGroup);
     m_backends.setSubset(m_plan);
 }
 
@@ -181,7 +181,7 @@
     if (now < m_nextShare)
         return;
     m_nextShare = now + m_options.shareInterval;
-    for (const auto& [address, ids] : m_plan.tells()) {
+    for (const auto& [address, ids] : m_plan.reportTargets()) {
         std::vector<BackendNews> told;
         for (const BackendId& id : ids) {
             auto news = m_backends.newsOf(id, now);
@@ -189,7 +189,7 @@
                 told.push_back(*std::move(news));
         }
         if (!told.empty())
-            m_membership.tell(address, std::move(told), effects);
+            m_membership.sendReports(address, std::move(told), effects);
     }
 }
 
@@ -197,7 +197,7 @@
 
 void ReducerState::on(const event::PeerMessageReceived& body, const Event& event, Effects& effects)
 {
-    m_membership.received(body.message, event.now, effects);
+    m_membership.handleMessage(body.message, event.now, effects);
     const bool trusted = event.now >= m_trustPeersFrom;
     for (const BackendNews& news : body.message.backends) {
         if (!trusted)
@@ -215,7 +215,7 @@
 
 void ReducerState::on(const event::InstancesListed& body, const Event& event, Effects& effects)
 {
-    m_membership.listed(body, event.now);
+    m_membership.addInstances(body, event.now);
     updateFollowing(effects);
 }
 
@@ -256,7 +256,7 @@
         return;
     // Callers may hold the list of entries for its lifetime, and need an answer that sends them elsewhere.
     const bool listExpired = now - *m_drainedAt >= m_options.entryLifetime;
-    const bool streamsEnded = !m_requests.open() || !m_options.guards.waitForStreams;
+    const bool streamsEnded = !m_requests.openRequestCount() || !m_options.guards.waitForStreams;
     if (!listExpired || !streamsEnded)
         return;
     m_drainReported = true;
--- a/src/edge/FrontServer.cpp
+++ b/src/edge/FrontServer.cpp
@@ -363,7 +363,7 @@
 
 std::size_t FrontServer::connections() const { return m_shared->connectionCount; }
 
-std::size_t FrontServer::busy() const { return m_shared->busyCalls; }
+std::size_t FrontServer::busyCalls() const { return m_shared->busyCalls; }
 
 Awaitable<void> FrontServer::acceptLoop(std::shared_ptr<Shared> shared)
 {
--- a/src/edge/FrontServer.h
+++ b/src/edge/FrontServer.h
@@ -32,7 +32,7 @@
     /// @return the number of open connections; while the server accepts, includes the connection to be accepted next
     std::size_t connections() const;
     /// @return the number of calls that were read and whose answers are not yet written
-    std::size_t busy() const;
+    std::size_t busyCalls() const;
 
 private:
     struct Shared;
--- a/src/edge/HopByHop.h
+++ b/src/edge/HopByHop.h
@@ -23,7 +23,7 @@
     }
 
     /// @return whether a header is hop-by-hop
-    bool concerns(std::string_view header) const
+    bool isHopByHop(std::string_view header) const
     {
         const auto isSame = [&](std::string_view name) {
             return absl::EqualsIgnoreCase(
--- a/src/edge/OrderReply.h
+++ b/src/edge/OrderReply.h
@@ -9,7 +9,7 @@
 /// How an engine answered an order.
 enum class OrderAnswer {
     Begun, ///< the engine has begun to carry out the order
-    Holds, ///< the engine is already in the ordered state
+    AlreadyInState, ///< the engine is already in the ordered state
     Refused, ///< the order does not fit the engine's state
     Unknown, ///< no answer: the engine may still carry out the order, even later
 };
@@ -21,7 +21,7 @@
     std::string culprit; ///< address of the engine that prevents the order; empty if the answer names none
     StartTime startedAt; ///< start time of the engine process that answered; zero if the answer does not say
 
-    bool isAccepted() const { return answer == OrderAnswer::Begun || answer == OrderAnswer::Holds; }
+    bool isAccepted() const { return answer == OrderAnswer::Begun || answer == OrderAnswer::AlreadyInState; }
 };
 
 } // namespace crocusmount
--- a/src/edge/PeerLink.cpp
+++ b/src/edge/PeerLink.cpp
@@ -117,7 +117,7 @@
         return;
     }
     if (datagram->loads)
-        m_exchange.take(*datagram->loads, m_node.now());
+        m_exchange.receive(*datagram->loads, m_node.now());
     if (datagram->leavingInstance)
         m_registry.noteLeaving(*datagram->leavingInstance);
     if (!datagram->deadEngines.empty())
@@ -132,7 +132,7 @@
         forward(*datagram, m_registry.self().id, datagram->forwardUntil);
     // The first instance of a data centre ignores its peers' copies while it can reach the store. If two instances
     // watch the store, the first one thus continues and the other one stops.
-    if (m_exchange.isFirst() && m_mirror.isStoreReachable())
+    if (m_exchange.hasLowestId() && m_mirror.isStoreReachable())
         return;
     if (datagram->storeChanges)
         m_mirror.applyPeerChanges(*datagram->storeChanges);
@@ -294,7 +294,7 @@
         announceLeaving();
     reportStoreCopy();
     m_registry.setSilentInstances(m_exchange.silentInstances(m_node.now()));
-    auto loads = m_exchange.others(m_node.now());
+    auto loads = m_exchange.loadOfOthers(m_node.now());
     if (loads.has_value() != std::exchange(m_knowsOtherLoads, loads.has_value()))
         relay::DecisionLog::state(
             "loads", { { "known", loads.has_value() }, { "collector", m_exchange.isCollector() } });
--- a/src/edge/PlacementDriver.cpp
+++ b/src/edge/PlacementDriver.cpp
@@ -71,7 +71,7 @@
         const bool seemsDead = server.refusedCheck || server.unansweredChecks >= UnansweredChecksOfDeadEngine;
         const bool isReplaceable = !disabled.has(relay::Mechanism::EarlyReplacement) && seemsDead;
         LayerPlanner::Engine engine { id, entry.dataCentre, entry.accelerator, entry.layers, std::nullopt,
-            entry.leaving || isReplaceable, entry.slots, server.ownTokenLayers + server.others.tokenLayers };
+            entry.leaving || isReplaceable, entry.slots, server.ownTokenLayers + server.othersLoad.tokenLayers };
         const auto outstanding = m_outstandingOrders.find(id);
         if (outstanding != m_outstandingOrders.end()) {
             const OutstandingOrder& order = outstanding->second;
@@ -103,8 +103,8 @@
     relay::DecisionLog::state("order",
         { { "engine", order.engine.value() }, { "from", order.layers.begin }, { "to", order.layers.end },
             { "held_from", engine.entry.layers.begin }, { "held_to", engine.entry.layers.end },
-            { "calls", engine.ownCalls + engine.others.calls },
-            { "token_layers", engine.ownTokenLayers + engine.others.tokenLayers },
+            { "calls", engine.ownCalls + engine.othersLoad.calls },
+            { "token_layers", engine.ownTokenLayers + engine.othersLoad.tokenLayers },
             { "answer", static_cast<int>(reply.answer) }, { "status", reply.status },
             { "expected_ms", expected.count() } });
     m_node.post(relay::event::EngineStartSeen { order.engine, reply.startedAt });
--- a/src/edge/UpstreamAttempt.cpp
+++ b/src/edge/UpstreamAttempt.cpp
@@ -36,7 +36,7 @@
         const HopByHop hopByHop(header[http::field::connection]);
         for (const auto& field : header) {
             const std::string_view name = field.name_string();
-            if (!hopByHop.concerns(name))
+            if (!hopByHop.isHopByHop(name))
                 head.headers.emplace_back(std::string(name), std::string(field.value()));
         }
         return head;
@@ -95,7 +95,7 @@
         co_await m_releaseSignal.async_wait(asTuple);
 }
 
-CallerRequest UpstreamAttempt::outgoing(
+CallerRequest UpstreamAttempt::buildServerRequest(
     const HeaderNames& names, const effect::StartAttempt& order, const CallerRequest& request)
 {
     CallerRequest forwarded(request.method(), request.target(), 11);
@@ -109,7 +109,7 @@
     };
     for (const auto& field : request) {
         const std::string_view name = field.name_string();
-        if (!hopByHop.concerns(name) && !isDropped(name))
+        if (!hopByHop.isHopByHop(name) && !isDropped(name))
             forwarded.insert(field.name_string(), field.value());
     }
     const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(order.remaining).count();
@@ -153,7 +153,7 @@
 {
     if (!co_await connect())
         co_return makeEnded(AttemptResult::ConnectFailed);
-    const CallerRequest forwarded = outgoing(m_headerNames, m_order, *m_request);
+    const CallerRequest forwarded = buildServerRequest(m_headerNames, m_order, *m_request);
     m_postEvent(event::AttemptSent { m_order.attempt });
     const auto [error, count] = co_await http::async_write(m_stream, forwarded, asTuple);
     (void)error; // A server may answer and close before it has read the whole request. Its answer is read below.
--- a/src/edge/UpstreamAttempt.h
+++ b/src/edge/UpstreamAttempt.h
@@ -40,7 +40,8 @@
     /// Builds the request for the server: the caller's request without hop-by-hop headers, credentials and headers that
     /// only instances may set, and with the headers of this attempt.
     /// @param request  as the caller sent it
-    static CallerRequest outgoing(const HeaderNames&, const effect::StartAttempt&, const CallerRequest& request);
+    static CallerRequest buildServerRequest(
+        const HeaderNames&, const effect::StartAttempt&, const CallerRequest& request);
 
 private:
     using Parser = http::response_parser<http::buffer_body>;
--- a/src/membership/Membership.cpp
+++ b/src/membership/Membership.cpp
@@ -68,7 +68,7 @@
         m_self.incarnation = update.incarnation + 1;
 }
 
-void Membership::listed(const event::InstancesListed& event, TimePoint now)
+void Membership::addInstances(const event::InstancesListed& event, TimePoint now)
 {
     for (const MemberUpdate& update : event.instances) {
         const bool known = m_members.contains(update.instance);
@@ -122,7 +122,7 @@
     send(sender.peerAddress, std::move(correction), effects);
 }
 
-void Membership::received(const PeerMessage& incoming, TimePoint now, Effects& effects)
+void Membership::handleMessage(const PeerMessage& incoming, TimePoint now, Effects& effects)
 {
     m_lastHeard = now;
     MemberUpdate sender = incoming.sender;
@@ -271,11 +271,11 @@
     }
 }
 
-void Membership::spread(const std::vector<BackendNews>& news, Effects& effects) const
+void Membership::broadcast(const std::vector<BackendNews>& news, Effects& effects) const
 {
     for (const auto& [id, member] : m_members) {
         if (isLive(member.update))
-            tell(member.update.peerAddress, news, effects);
+            sendReports(member.update.peerAddress, news, effects);
     }
 }
 
@@ -301,7 +301,7 @@
     return rank;
 }
 
-std::vector<MemberUpdate> Membership::live() const
+std::vector<MemberUpdate> Membership::liveMembers() const
 {
     std::vector<MemberUpdate> all = members();
     // A suspect keeps its share of the servers until it is declared dead, so that a late answer changes no assignment.
@@ -311,7 +311,7 @@
     return all;
 }
 
-void Membership::tell(const std::string& address, std::vector<BackendNews> news, Effects& effects) const
+void Membership::sendReports(const std::string& address, std::vector<BackendNews> news, Effects& effects) const
 {
     PeerMessage outgoing;
     outgoing.kind = PeerMessageKind::News;
--- a/src/membership/Membership.h
+++ b/src/membership/Membership.h
@@ -18,9 +18,9 @@
     explicit Membership(const ReducerOptions&);
 
     /// Adds the instances of the platform's list or of the seeds that are not known yet. They are probed from then on.
-    void listed(const event::InstancesListed&, TimePoint now);
+    void addInstances(const event::InstancesListed&, TimePoint now);
     /// Processes a message of a peer and answers it.
-    void received(const PeerMessage&, TimePoint now, Effects&);
+    void handleMessage(const PeerMessage&, TimePoint now, Effects&);
     /// Probes the next instance when due, and updates the states of instances that did not answer.
     void tick(TimePoint now, std::uint64_t entropy, Effects&);
     /// Marks this instance as leaving and notifies all live instances.
@@ -29,15 +29,15 @@
     /// centre that have an older one.
     void setRevision(Revision, TimePoint now, Effects&);
     /// Sends reports on backend servers to all live instances.
-    void spread(const std::vector<BackendNews>&, Effects&) const;
+    void broadcast(const std::vector<BackendNews>&, Effects&) const;
     /// Sends reports on backend servers to one instance.
     /// @param address  "ip:port" of the peer
-    void tell(const std::string& address, std::vector<BackendNews>, Effects&) const;
+    void sendReports(const std::string& address, std::vector<BackendNews>, Effects&) const;
 
     /// @return this instance and all known ones, including dead ones, in order of id
     std::vector<MemberUpdate> members() const;
     /// @return this instance and those that are neither dead nor leaving, in order of id
-    std::vector<MemberUpdate> live() const;
+    std::vector<MemberUpdate> liveMembers() const;
     /// @return a count that grows with each change of the state or incarnation of an instance
     std::uint64_t version() const { return m_version; }
     /// @return whether this instance is one of those that watch the store for its data centre
--- a/src/membership/WatchPlan.h
+++ b/src/membership/WatchPlan.h
@@ -37,7 +37,7 @@
     /// @return whether this instance sends work to a server
     bool uses(const BackendId& id) const { return m_usesAll || m_subset.contains(id); }
     /// @return the servers whose load this instance reports to a peer, by the peer's address
-    const std::map<std::string, std::vector<BackendId>>& tells() const { return m_reportTargets; }
+    const std::map<std::string, std::vector<BackendId>>& reportTargets() const { return m_reportTargets; }
 
 private:
     bool m_usesAll = true;
--- a/src/relay/Call.h
+++ b/src/relay/Call.h
@@ -72,11 +72,11 @@
     bool wasHarmless = false; ///< ran to its end, or longer than a request that crashes its server, see MinHarmlessRun
     std::optional<TimePoint> nextHoldCheckAt; ///< set while the call is kept out of the queue for a crash verdict
     std::optional<TimePoint> holdDeadline; ///< the call is queued at this time even without a verdict
-    std::vector<BackendId> avoid; ///< servers that failed or rejected this call, or stalled under it
+    std::vector<BackendId> avoidedServers; ///< servers that failed or rejected this call, or stalled under it
 
     /// The delay of such a call reflects the failure, not the load, so the concurrency limit ignores it.
     /// @return whether a server failed this call before
-    bool hasAvoidedServers() const { return !avoid.empty(); }
+    bool hasAvoidedServers() const { return !avoidedServers.empty(); }
 
     /// @param wanted  id of a running attempt of this call
     Attempt& attempt(AttemptId wanted) { return main.id == wanted ? main : *second; }
@@ -86,8 +86,8 @@
 
     void addAvoided(const BackendId& id)
     {
-        if (std::find(avoid.begin(), avoid.end(), id) == avoid.end())
-            avoid.push_back(id);
+        if (std::find(avoidedServers.begin(), avoidedServers.end(), id) == avoidedServers.end())
+            avoidedServers.push_back(id);
     }
 };
 
--- a/src/relay/CallPlacer.cpp
+++ b/src/relay/CallPlacer.cpp
@@ -83,10 +83,12 @@
 
 double CallPlacer::penaltyMs(const Call& call, const FleetServer& server, TimePoint now) const
 {
-    const bool failedBefore = std::find(call.avoid.begin(), call.avoid.end(), server.entry.id) != call.avoid.end();
+    const bool failedBefore = std::find(call.avoidedServers.begin(), call.avoidedServers.end(), server.entry.id)
+        != call.avoidedServers.end();
     const bool usesOthersAvoidance = !m_options.without.has(Mechanism::OthersAvoidance);
     const bool isAvoided = now < server.avoidUntil
-        || (usesOthersAvoidance && server.others.avoiders >= std::max(MinAvoiders, MinAvoiderFraction * m_instances));
+        || (usesOthersAvoidance
+            && server.othersLoad.avoiders >= std::max(MinAvoiders, MinAvoiderFraction * m_instances));
     return (isAvoided ? AvoidedPenaltyMs : 0) + (failedBefore ? FailedBeforePenaltyMs : 0);
 }
 
@@ -100,8 +102,8 @@
     const auto total = [&](double current, double atLastReport, double others) {
         return current + others + SimilarChoiceFraction * (m_instances - 1) * std::max(0.0, current - atLastReport);
     };
-    return { own.engine, total(own.tokenLayers, server.reported.tokenLayers, server.others.tokenLayers),
-        total(own.calls, server.reported.calls, server.others.calls) };
+    return { own.engine, total(own.tokenLayers, server.ownLoadAtLastReport.tokenLayers, server.othersLoad.tokenLayers),
+        total(own.calls, server.ownLoadAtLastReport.calls, server.othersLoad.calls) };
 }
 
 std::optional<Chain> CallPlacer::findChain(
@@ -139,7 +141,7 @@
         const double keptFactor = running && running->chain.contains(id) ? KeptStageCostFactor : 1;
         const double firstStagePenaltyMs
             = m_options.without.has(Mechanism::EntryPrice) ? 0 : entryPenaltyMs(load.calls, entry.slots);
-        const double jitter = 1 + CostJitter * spread(entropy, ++jitterIndex);
+        const double jitter = 1 + CostJitter * uniformFraction(entropy, ++jitterIndex);
         // A stage processes a new event only after its current pass, which runs all of its layers.
         const double stagePenaltyMs = keptFactor * PassWaitFraction * cost.passMs() + penaltyMs(call, server, now);
         candidates.push_back({ id, entry.address, entry.layers, indexOf(entry.dataCentre),
@@ -160,7 +162,7 @@
         if (server.ownCalls >= std::max(1.0, SlotOvercommit * entry.slots / m_instances) + 1)
             continue;
         const double cost = (1 + server.ownCalls) * (1 + FailureRateWeight * server.failureRate)
-                * (1 + CostJitter * spread(entropy, ++jitterIndex))
+                * (1 + CostJitter * uniformFraction(entropy, ++jitterIndex))
             + (entry.dataCentre == m_options.dataCentre ? 0 : CostJitter) + penaltyMs(call, server, now);
         if (!best || cost < bestCost) {
             best = &server;
--- a/src/relay/CrashEvidence.cpp
+++ b/src/relay/CrashEvidence.cpp
@@ -102,7 +102,7 @@
     return static_cast<std::size_t>(endedTogether) >= MinOthersInGroupFailure;
 }
 
-CrashEvidence::Findings CrashEvidence::settle(TimePoint now)
+CrashEvidence::Findings CrashEvidence::classifyEnds(TimePoint now)
 {
     Findings findings;
     for (auto& [server, end] : m_ends) {
--- a/src/relay/CrashEvidence.h
+++ b/src/relay/CrashEvidence.h
@@ -47,7 +47,7 @@
     };
     /// Classifies the ends that were confirmed long enough ago to tell a crash from a group failure.
     /// @return a report for each suspect of the ends that this call has classified
-    Findings settle(TimePoint now);
+    Findings classifyEnds(TimePoint now);
 
     /// @return the number of possible or confirmed ends of servers that are not classified yet and for which this
     ///         request is a suspect
--- a/src/relay/EngineCheckBudget.cpp
+++ b/src/relay/EngineCheckBudget.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-void EngineCheckBudget::earn(std::size_t engines, std::uint32_t instances, TimePoint now)
+void EngineCheckBudget::refill(std::size_t engines, std::uint32_t instances, TimePoint now)
 {
     const double seconds = std::chrono::duration<double>(now - m_lastRefill).count();
     m_lastRefill = now;
--- a/src/relay/EngineCheckBudget.h
+++ b/src/relay/EngineCheckBudget.h
@@ -17,7 +17,7 @@
     /// Refills both buckets for the time since the previous call.
     /// @param engines    number of registered engines
     /// @param instances  number of instances that share these engines
-    void earn(std::size_t engines, std::uint32_t instances, TimePoint now);
+    void refill(std::size_t engines, std::uint32_t instances, TimePoint now);
 
     /// Consumes a token for a regular check.
     /// @return whether the check is allowed
--- a/src/relay/LoadExchange.cpp
+++ b/src/relay/LoadExchange.cpp
@@ -159,7 +159,7 @@
     fullReport.slice = 0;
     fullReport.slices = 1;
     fullReport.engines = m_ownLoads;
-    take(fullReport, now);
+    receive(fullReport, now);
     const auto isFresh = [&](const Source& source) { return now - source.lastReceivedAt <= ReportLifetime; };
     EngineLoads sums;
     std::uint32_t instances = 0;
@@ -198,7 +198,7 @@
     fleetReport.slice = 0;
     fleetReport.slices = 1;
     fleetReport.engines = std::move(fleetLoads);
-    take(fleetReport, now);
+    receive(fleetReport, now);
     return outgoing;
 }
 
@@ -224,7 +224,7 @@
     std::erase_if(sources, [&](const auto& each) { return now - each.second.lastReceivedAt > ReportLifetime; });
 }
 
-void LoadExchange::take(const LoadReport& report, TimePoint now)
+void LoadExchange::receive(const LoadReport& report, TimePoint now)
 {
     switch (report.scope) {
     case LoadScope::Instance:
@@ -269,7 +269,7 @@
     return { best->silentInstances.begin(), best->silentInstances.end() };
 }
 
-std::optional<EngineLoads> LoadExchange::others(TimePoint now) const
+std::optional<EngineLoads> LoadExchange::loadOfOthers(TimePoint now) const
 {
     const Source* best = bestFleetSum(now);
     const std::uint32_t listedCount = peerCount();
--- a/src/relay/LoadExchange.h
+++ b/src/relay/LoadExchange.h
@@ -53,12 +53,12 @@
 
     /// Handles a received report. Reports of one instance and sums of the fleet are ignored unless their sequence
     /// number is higher than that of the sender's last report. The last received sum of a data centre always counts.
-    void take(const LoadReport&, TimePoint now);
+    void receive(const LoadReport&, TimePoint now);
 
     /// Instances that are listed but not included in the sum, for example because they are cut off from the collectors,
     /// are assumed to put as much load on each engine as the average of the included ones.
     /// @return the load that the other instances put on each engine, or nothing if no fresh sum is known
-    std::optional<EngineLoads> others(TimePoint now) const;
+    std::optional<EngineLoads> loadOfOthers(TimePoint now) const;
 
     /// A dead instance stays listed until its lease ends. The collectors of its data centre notice its silence sooner.
     /// @return keys of instances that are listed but silent, see instanceKey; empty if no fresh sum is known
@@ -66,7 +66,7 @@
 
     bool isCollector() const;
     /// @return whether this instance has the lowest id in its data centre
-    bool isFirst() const { return m_peers.at(m_self.dataCentre).front() == m_self; }
+    bool hasLowestId() const { return m_peers.at(m_self.dataCentre).front() == m_self; }
 
 private:
     /// The state of one source of reports: an instance or a data centre.
--- a/src/relay/RelayOptions.h
+++ b/src/relay/RelayOptions.h
@@ -37,7 +37,7 @@
     Duration firstEventLimit = std::chrono::milliseconds(900); ///< time without a first event that counts as a stall
     Duration minStall = std::chrono::milliseconds(450); ///< minimum gap between events that counts as a stall
     double stallFactor = 8; ///< minimum gap that counts as a stall, as a multiple of the stream's usual gap
-    Duration suspicion = std::chrono::seconds(3); ///< how long a stalled stage is avoided
+    Duration stallAvoidance = std::chrono::seconds(3); ///< how long a stalled stage is avoided
     /// Time from the announcement that a server leaves until its streams are moved to other servers. Most streams end
     /// earlier. The server continues to run them for at least twice this time.
     Duration rerouteDelay = std::chrono::milliseconds(1000);
@@ -48,7 +48,7 @@
     std::uint32_t maxReroutes = 3; ///< maximum number of reroutes of one attempt
     /// How long new calls are accepted after the start of a drain. Calls that arrive later might not end before the
     /// process has to exit.
-    Duration lastCall = std::chrono::milliseconds(2800);
+    Duration acceptAfterDrainStart = std::chrono::milliseconds(2800);
     /// Time until an idempotent call without an answer is also sent to another server, as a multiple of the latency
     /// objective.
     double slowCallFactor = 2;
--- a/src/relay/RelayReducer.cpp
+++ b/src/relay/RelayReducer.cpp
@@ -128,7 +128,7 @@
     // Callers do not retry after UnknownRoute or UnknownKey, so an outdated configuration must not produce them.
     if (!call.route)
         return m_isStoreCopyOutdated ? Reason::NotConfigured : Reason::UnknownRoute;
-    if (m_drainRequestedAt && context.now > *m_drainRequestedAt + m_options.lastCall)
+    if (m_drainRequestedAt && context.now > *m_drainRequestedAt + m_options.acceptAfterDrainStart)
         return Reason::Draining;
     call.rank = call.route->rank;
     if (!m_routes->configuration().workspaces.empty() && !call.route->anonymous) {
@@ -181,7 +181,7 @@
         = call.spec.expectedAnswerTokens ? call.spec.expectedAnswerTokens : call.spec.maxAnswerTokens;
     call.tokens = call.spec.promptTokens + expected;
     call.lastEventId = call.spec.resumeAfter.value_or(0);
-    budgetOf(call.service).earn();
+    budgetOf(call.service).addRequest();
     Call& stored = m_calls.emplace(call.id, std::move(call)).first->second;
     if (awaitsCrashVerdict(stored)) {
         holdCall(stored, context);
@@ -242,7 +242,7 @@
         call->meanEventGap += scaled(context.now - call->lastProgress - call->meanEventGap, EventGapWeight);
     }
     if (!call->main.eventsDelivered)
-        m_fleet.accepted(call->main.chain, context.now);
+        m_fleet.recordAccepted(call->main.chain, context.now);
     ++call->main.eventsDelivered;
     call->hasPartialAnswer = true;
     call->lastEventId = delivered.eventId;
@@ -262,7 +262,7 @@
     Call& call = *found;
     if (ended.result == AttemptResult::Completed) {
         keepOnly(call, ended.attempt, context);
-        m_fleet.succeeded(call.main.server);
+        m_fleet.recordSuccess(call.main.server);
         recordHarmlessRequest(call, context);
         release(call, call.main, context);
         ++m_counters.completed;
@@ -318,16 +318,16 @@
         checkNamedEngine(attempt, ended, context);
         if (ended.status == Misdirected) {
             // The server does not hold the layers that its entry lists, so all calls fail until the entry changes.
-            m_fleet.suspect(blamed, context.now + m_options.suspicion);
+            m_fleet.setAvoidedUntil(blamed, context.now + m_options.stallAvoidance);
             return;
         }
         if (!mayBeDead(blamed, context.now))
             queueOf(call).limit().rejected(queueOf(call).running(), context.now);
-        m_fleet.turnedAway(blamed, context.now);
+        m_fleet.recordRejection(blamed, context.now);
         return;
     case AttemptResult::ConnectFailed:
     case AttemptResult::Broken:
-        m_fleet.failed(blamed, context.now);
+        m_fleet.recordFailure(blamed, context.now);
         if (ended.result == AttemptResult::Broken)
             recordLostAttempt(call, attempt, context);
         // If the process has ended, the check is refused too, and the result is shared with all instances.
--- a/src/relay/RelayReducerChecks.cpp
+++ b/src/relay/RelayReducerChecks.cpp
@@ -125,7 +125,7 @@
 void RelayReducer::checkAvoidedEngines(Context& context)
 {
     for (const auto& [id, server] : m_fleet.servers()) {
-        if (server.others.avoiders >= 1 && !server.isDead(context.now))
+        if (server.othersLoad.avoiders >= 1 && !server.isDead(context.now))
             checkEngine(*m_fleet.find(id), context);
     }
 }
@@ -151,13 +151,13 @@
     if (!server)
         return;
     if (checked.answered) {
-        m_crashEvidence.noteAlive(server->others.engine);
+        m_crashEvidence.noteAlive(server->othersLoad.engine);
         m_fleet.recordAnsweredCheck(checked.engine, checked.slowness);
         recordClosed(checked, context);
         dispatchAll(context);
         return;
     }
-    m_crashEvidence.noteSilent(server->others.engine, context.now, server->lastAliveAt);
+    m_crashEvidence.noteSilent(server->othersLoad.engine, context.now, server->lastAliveAt);
     if (checked.refused)
         recordServerEnded(*server, context);
     m_fleet.recordMissedCheck(checked.engine, checked.refused, context.now);
@@ -204,7 +204,7 @@
     const Duration since = context.now - server->lastRejectedAt;
     if (since < ReportLag || since > 2 * ReportLag || server->lastAcceptedAt > server->lastRejectedAt)
         return;
-    m_fleet.closed(checked.engine, context.now);
+    m_fleet.markClosed(checked.engine, context.now);
     ++m_counters.closedEngines;
     context.effects.emplace_back(effect::LogServerState {
         effect::LogServerState::ServerStateChange::Closed, checked.engine, server->entry.startedAt });
@@ -218,9 +218,9 @@
         return;
     for (const auto& [id, server] : m_fleet.servers()) {
         const auto& keys = reported.engines;
-        if (server.isClosed(context.now) || std::find(keys.begin(), keys.end(), server.others.engine) == keys.end())
+        if (server.isClosed(context.now) || std::find(keys.begin(), keys.end(), server.othersLoad.engine) == keys.end())
             continue;
-        m_fleet.closed(id, context.now);
+        m_fleet.markClosed(id, context.now);
         context.effects.emplace_back(effect::LogServerState {
             effect::LogServerState::ServerStateChange::ReportedClosed, id, server.entry.startedAt });
     }
@@ -280,7 +280,7 @@
 {
     for (const auto& [id, server] : m_fleet.servers()) {
         const auto& keys = reported.engines;
-        if (server.isDead(context.now) || std::find(keys.begin(), keys.end(), server.others.engine) == keys.end())
+        if (server.isDead(context.now) || std::find(keys.begin(), keys.end(), server.othersLoad.engine) == keys.end())
             continue;
         if (!hasSilentStreamThrough(id, context.now)) {
             checkUrgently(*m_fleet.find(id), context);
--- a/src/relay/RelayReducerCrashes.cpp
+++ b/src/relay/RelayReducerCrashes.cpp
@@ -55,11 +55,11 @@
         return;
     std::vector<std::uint64_t> servers;
     if (const FleetServer* first = m_fleet.find(attempt.server))
-        servers.push_back(first->others.engine);
+        servers.push_back(first->othersLoad.engine);
     for (const Hop& hop : attempt.chain.hops()) {
         const FleetServer* server = m_fleet.find(hop.backend);
         if (server && hop.backend != attempt.server && (server->beingChecked || server->isDead(context.now)))
-            servers.push_back(server->others.engine);
+            servers.push_back(server->othersLoad.engine);
     }
     m_crashEvidence.noteLost({ call.identity, sign }, std::move(servers), context.now);
     checkUnsettledServers(context);
@@ -73,7 +73,7 @@
     if (unsettled.empty())
         return;
     for (const auto& [id, server] : m_fleet.servers()) {
-        const auto since = unsettled.find(server.others.engine);
+        const auto since = unsettled.find(server.othersLoad.engine);
         if (since == unsettled.end())
             continue;
         const bool isProbeDue = server.nextProbe && context.now >= *server.nextProbe;
@@ -106,7 +106,7 @@
     server->beingChecked = false;
     server->nextProbe.reset();
     if (probed.finding == Finding::Alive)
-        m_crashEvidence.noteAlive(server->others.engine);
+        m_crashEvidence.noteAlive(server->othersLoad.engine);
     else if (probed.finding == Finding::Ended)
         recordServerEnded(*server, context);
     else
@@ -132,7 +132,7 @@
         if (call.second)
             consider(call, *call.second);
     }
-    if (m_crashEvidence.noteEnded(server.others.engine, std::move(running), context.now, server.lastAliveAt))
+    if (m_crashEvidence.noteEnded(server.othersLoad.engine, std::move(running), context.now, server.lastAliveAt))
         context.effects.emplace_back(effect::LogServerState {
             effect::LogServerState::ServerStateChange::ProcessEnded, server.entry.id, server.entry.startedAt });
 }
@@ -141,7 +141,7 @@
 void RelayReducer::settleCrashes(Context& context)
 {
     checkUnsettledServers(context);
-    CrashEvidence::Findings findings = m_crashEvidence.settle(context.now);
+    CrashEvidence::Findings findings = m_crashEvidence.classifyEnds(context.now);
     m_counters.crashesDismissed += findings.dismissed.size();
     for (const CrashReport& report : findings.dismissed)
         context.effects.emplace_back(effect::LogCrash { report, false });
@@ -149,7 +149,7 @@
         countCrash(report, true, context);
     if (!findings.crashes.empty())
         context.effects.emplace_back(effect::ShareCrashes { std::move(findings.crashes) });
-    m_quarantine.forgetOld(context.now);
+    m_quarantine.removeExpired(context.now);
     releaseHeldCalls(context);
 }
 
@@ -172,7 +172,7 @@
 void RelayReducer::quarantine(const RequestIdentity& request, bool isOwn, Context& context)
 {
     ++m_counters.quarantined;
-    const auto servers = static_cast<std::uint32_t>(m_quarantine.servers(request));
+    const auto servers = static_cast<std::uint32_t>(m_quarantine.serverCount(request));
     context.effects.emplace_back(effect::QuarantineRequest { request, servers, m_quarantine.points(request), isOwn });
     std::vector<RequestId> open;
     for (const auto& [id, call] : m_calls) {
--- a/src/relay/RelayReducerPlacing.cpp
+++ b/src/relay/RelayReducerPlacing.cpp
@@ -107,7 +107,7 @@
 Duration RelayReducer::retryAfterFor(Reason reason, const Context& context) const
 {
     const auto between = [&](std::int64_t minMs, std::int64_t maxMs) {
-        const double fraction = spread(context.entropy, static_cast<std::uint64_t>(reason));
+        const double fraction = uniformFraction(context.entropy, static_cast<std::uint64_t>(reason));
         const double ms = static_cast<double>(minMs) + fraction * static_cast<double>(maxMs - minMs);
         return Duration(static_cast<std::int64_t>(ms * 1000));
     };
@@ -131,7 +131,7 @@
     const Duration shortage = queue.refused(context.now);
     const Duration lasted = m_options.without.has(Mechanism::ComeBackTime) ? Duration(0) : shortage;
     const Duration expected = std::clamp(lasted, MinExpectedShortage, MaxExpectedShortage);
-    const double fraction = spread(context.entropy, static_cast<std::uint64_t>(Reason::NoCapacity));
+    const double fraction = uniformFraction(context.entropy, static_cast<std::uint64_t>(Reason::NoCapacity));
     return scaled(expected, MinRetryAfterFactor + fraction * (MaxRetryAfterFactor - MinRetryAfterFactor));
 }
 
@@ -161,7 +161,8 @@
 {
     return std::any_of(chain.hops().begin(), chain.hops().end(), [&](const Hop& hop) {
         const auto server = m_fleet.servers().find(hop.backend);
-        const bool isAvoided = std::find(call.avoid.begin(), call.avoid.end(), hop.backend) != call.avoid.end();
+        const bool isAvoided = std::find(call.avoidedServers.begin(), call.avoidedServers.end(), hop.backend)
+            != call.avoidedServers.end();
         if (!isAvoided || server == m_fleet.servers().end())
             return false;
         const TimePoint until = server->second.avoidUntil;
--- a/src/relay/RelayReducerTime.cpp
+++ b/src/relay/RelayReducerTime.cpp
@@ -25,7 +25,7 @@
 {
     for (auto& [service, budget] : m_budgets)
         budget.raiseBurstShare(retryBurstShare());
-    m_checkBudget.earn(m_fleet.servers().size(), m_placer.instances(), context.now);
+    m_checkBudget.refill(m_fleet.servers().size(), m_placer.instances(), context.now);
     admitEarlyCalls(context);
     refuseOverdue(context);
     recheckDeadAndSlowEngines(context);
@@ -154,7 +154,7 @@
 void RelayReducer::abandonStages(Call& call, const std::vector<BackendId>& stages, Context& context)
 {
     for (const BackendId& stage : stages) {
-        m_fleet.suspect(stage, context.now + m_options.suspicion);
+        m_fleet.setAvoidedUntil(stage, context.now + m_options.stallAvoidance);
         call.addAvoided(stage);
     }
     if (!call.second && reroute(call, stages, context) == MoveResult::Impossible)
--- a/src/relay/RequestQuarantine.cpp
+++ b/src/relay/RequestQuarantine.cpp
@@ -90,19 +90,19 @@
     return record == m_records.end() ? 0 : record->second.points();
 }
 
-std::size_t RequestQuarantine::servers(const RequestIdentity& request) const
+std::size_t RequestQuarantine::serverCount(const RequestIdentity& request) const
 {
     const auto record = m_records.find(request);
     return record == m_records.end() ? 0 : record->second.servers.size();
 }
 
-std::size_t RequestQuarantine::quarantined(TimePoint now) const
+std::size_t RequestQuarantine::quarantinedCount(TimePoint now) const
 {
     return static_cast<std::size_t>(std::count_if(m_records.begin(), m_records.end(),
         [&](const auto& each) { return each.second.quarantinedUntil && now < *each.second.quarantinedUntil; }));
 }
 
-void RequestQuarantine::forgetOld(TimePoint now)
+void RequestQuarantine::removeExpired(TimePoint now)
 {
     for (auto& [request, record] : m_records) {
         if (!record.quarantinedUntil || now < *record.quarantinedUntil)
--- a/src/relay/RequestQuarantine.h
+++ b/src/relay/RequestQuarantine.h
@@ -43,14 +43,14 @@
     /// @return the points of evidence against a request
     std::uint32_t points(const RequestIdentity&) const;
     /// @return the number of servers that the request may have crashed; at most MaxServersPerRequest are remembered
-    std::size_t servers(const RequestIdentity&) const;
+    std::size_t serverCount(const RequestIdentity&) const;
     bool empty() const { return m_records.empty(); }
     /// @return the number of quarantined requests
-    std::size_t quarantined(TimePoint now) const;
+    std::size_t quarantinedCount(TimePoint now) const;
 
     /// Removes expired evidence and ends expired quarantines. A request whose quarantine has ended may run again. One
     /// crash just after the request began to run quarantines it again.
-    void forgetOld(TimePoint now);
+    void removeExpired(TimePoint now);
 
 private:
     struct Record {
--- a/src/relay/ServerFleet.cpp
+++ b/src/relay/ServerFleet.cpp
@@ -33,7 +33,7 @@
 
 EngineLoad FleetServer::ownLoad(TimePoint now) const
 {
-    return { others.engine, ownTokenLayers, static_cast<double>(ownCalls), now < unhealthyUntil ? 1.0 : 0.0 };
+    return { othersLoad.engine, ownTokenLayers, static_cast<double>(ownCalls), now < unhealthyUntil ? 1.0 : 0.0 };
 }
 
 Registration ServerFleet::upsert(const RegisteredServer& entry, TimePoint now)
@@ -68,7 +68,7 @@
     if (result.changed)
         position->second.listedAt = now;
     position->second.entry = entry;
-    position->second.others.engine = engineKey(entry.id, entry.startedAt);
+    position->second.othersLoad.engine = engineKey(entry.id, entry.startedAt);
     return result;
 }
 
@@ -143,13 +143,13 @@
 {
     m_knowsOthersLoad = loads.has_value();
     for (auto& [id, server] : m_servers) {
-        EngineLoad load { server.others.engine };
+        EngineLoad load { server.othersLoad.engine };
         if (loads) {
             if (const auto found = loads->find(load.engine); found != loads->end())
                 load = found->second;
         }
-        server.others = load;
-        server.reported = server.ownLoad(now);
+        server.othersLoad = load;
+        server.ownLoadAtLastReport = server.ownLoad(now);
     }
 }
 
@@ -186,7 +186,7 @@
     }
 }
 
-void ServerFleet::failed(const BackendId& id, TimePoint now)
+void ServerFleet::recordFailure(const BackendId& id, TimePoint now)
 {
     FleetServer* server = find(id);
     if (!server)
@@ -198,7 +198,7 @@
     ++server->consecutiveFailures;
 }
 
-void ServerFleet::succeeded(const BackendId& id)
+void ServerFleet::recordSuccess(const BackendId& id)
 {
     FleetServer* server = find(id);
     if (!server)
@@ -207,7 +207,7 @@
     server->consecutiveFailures = 0;
 }
 
-void ServerFleet::turnedAway(const BackendId& id, TimePoint now)
+void ServerFleet::recordRejection(const BackendId& id, TimePoint now)
 {
     FleetServer* server = find(id);
     if (!server)
@@ -222,7 +222,7 @@
         server->unhealthyUntil = server->avoidUntil;
 }
 
-void ServerFleet::accepted(const Chain& chain, TimePoint now)
+void ServerFleet::recordAccepted(const Chain& chain, TimePoint now)
 {
     for (const Hop& hop : chain.hops()) {
         if (FleetServer* server = find(hop.backend))
@@ -230,7 +230,7 @@
     }
 }
 
-void ServerFleet::closed(const BackendId& id, TimePoint now)
+void ServerFleet::markClosed(const BackendId& id, TimePoint now)
 {
     if (FleetServer* server = find(id))
         server->closedUntil = now + ClosedPause;
@@ -261,7 +261,7 @@
     ++server->unansweredChecks;
     server->deadUntil = now + DeadPause * (1U << doublings);
     m_checkCandidates.insert(id);
-    suspect(id, server->deadUntil);
+    setAvoidedUntil(id, server->deadUntil);
 }
 
 void ServerFleet::recordReportedDead(const BackendId& id, TimePoint now)
@@ -271,10 +271,10 @@
         return;
     server->deadUntil = now + DeadPause;
     m_checkCandidates.insert(id);
-    suspect(id, server->deadUntil);
+    setAvoidedUntil(id, server->deadUntil);
 }
 
-void ServerFleet::suspect(const BackendId& id, TimePoint until)
+void ServerFleet::setAvoidedUntil(const BackendId& id, TimePoint until)
 {
     FleetServer* server = find(id);
     if (!server)
--- a/src/relay/ServerFleet.h
+++ b/src/relay/ServerFleet.h
@@ -18,8 +18,9 @@
     RegisteredServer entry;
     std::uint32_t ownCalls = 0; ///< running calls of this instance with this server as first stage or only server
     double ownTokenLayers = 0; ///< estimated KV cache of this instance's calls on this server, in tokens times layers
-    EngineLoad reported; ///< load of this instance's calls when the last reports of other instances were applied
-    EngineLoad others; ///< load of the other instances' calls by the last reports; its engine key is always set
+    EngineLoad
+        ownLoadAtLastReport; ///< load of this instance's calls when the last reports of other instances were applied
+    EngineLoad othersLoad; ///< load of the other instances' calls by the last reports; its engine key is always set
     double failureRate = 0; ///< moving average of the fraction of attempts that failed
     std::uint32_t consecutiveFailures = 0;
     std::uint32_t consecutiveRejections = 0; ///< calls rejected since the last event of any call through this server
@@ -100,20 +101,20 @@
     void answerBegun(const BackendId&, const Chain&, TimePoint now);
 
     /// Records a failed attempt. The server is avoided for a time that doubles with each consecutive failure.
-    void failed(const BackendId&, TimePoint now);
+    void recordFailure(const BackendId&, TimePoint now);
     /// Records a successful attempt.
-    void succeeded(const BackendId&);
+    void recordSuccess(const BackendId&);
     /// Records that a server rejected a call. The server is avoided for a short time, since a full server has free
     /// capacity again when a few streams end. This time doubles while the server rejects call after call without an
     /// event through it, as in a drain that the registry does not show yet.
-    void turnedAway(const BackendId&, TimePoint now);
+    void recordRejection(const BackendId&, TimePoint now);
     /// Records the first event of a new call through a chain.
-    void accepted(const Chain&, TimePoint now);
+    void recordAccepted(const Chain&, TimePoint now);
     /// Records that an engine accepts no new calls despite free capacity.
-    void closed(const BackendId&, TimePoint now);
+    void markClosed(const BackendId&, TimePoint now);
     /// Avoids a server that has stalled or is expected to reject all calls.
     /// @param until  end of the avoidance
-    void suspect(const BackendId&, TimePoint until);
+    void setAvoidedUntil(const BackendId&, TimePoint until);
     /// Records the answer of an engine to a health check.
     /// @param slowness  as reported by the engine
     void recordAnsweredCheck(const BackendId&, double slowness);
--- a/src/relay/Spread.h
+++ b/src/relay/Spread.h
@@ -8,7 +8,7 @@
 /// @param entropy  uniformly random
 /// @param use      index that distinguishes the numbers derived from this entropy
 /// @return a uniformly distributed number in [0, 1)
-inline double spread(std::uint64_t entropy, std::uint64_t use)
+inline double uniformFraction(std::uint64_t entropy, std::uint64_t use)
 {
     std::uint64_t mixed = entropy + (use + 1) * 0x9E3779B97F4A7C15ULL;
     mixed = (mixed ^ (mixed >> 30U)) * 0xBF58476D1CE4E5B9ULL;
--- a/src/requests/RequestTable.cpp
+++ b/src/requests/RequestTable.cpp
@@ -201,8 +201,9 @@
     Duration retryAfter {};
     if (const auto reason = queueRefusalReason(request.spec, pipeline, timeout, retryAfter))
         return refuse(arrival.request, *reason, retryAfter, effects);
-    m_retryBudget.earn();
-    m_workspaceBudgets.try_emplace(spec.workspace, m_options.retryRatio, m_options.retryBurst).first->second.earn();
+    m_retryBudget.addRequest();
+    m_workspaceBudgets.try_emplace(spec.workspace, m_options.retryRatio, m_options.retryBurst)
+        .first->second.addRequest();
     request.arrivedAt = event.now;
     request.deadline = event.now + timeout;
     request.keyHash = keyHash;
--- a/src/requests/RequestTable.h
+++ b/src/requests/RequestTable.h
@@ -58,7 +58,7 @@
     void capacityMayHaveChanged() { unblockQueues(); }
 
     /// @return the number of unfinished requests, without those that joined another
-    std::size_t open() const { return m_requests.size(); }
+    std::size_t openRequestCount() const { return m_requests.size(); }
 
 private:
     /// The requests of one pipeline that wait for a chain.
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -46,7 +46,7 @@
     } cases[] = { { "Connection", true }, { "transfer-encoding", true }, { "x-private", true }, { "Host", false },
         { "Content-Type", false }, { "Keep-Alive", true }, { "Content-Length", true } };
     for (const auto& each : cases)
-        CHECK_EQUAL_TEXT(each.concerns, hopByHop.concerns(each.name), each.name);
+        CHECK_EQUAL_TEXT(each.concerns, hopByHop.isHopByHop(each.name), each.name);
 }
 
 TEST(Edge, ForwardedCallDropsApiKeyAndCarriesRoutingHeaders)
@@ -68,7 +68,7 @@
     order.chain = *Chain::make(2,
         { { BackendId("e1"), "1.1.1.1:1", { 0, 1 }, Generation() },
             { BackendId("e2"), "2.2.2.2:2", { 1, 2 }, Generation() } });
-    const CallerRequest out = UpstreamAttempt::outgoing(platform::headerNames(), order, request);
+    const CallerRequest out = UpstreamAttempt::buildServerRequest(platform::headerNames(), order, request);
     const struct {
         const char* name;
         const char* value; ///< empty: absent
--- a/tests/EngineCheckTest.cpp
+++ b/tests/EngineCheckTest.cpp
@@ -161,7 +161,7 @@
         EngineCheckBudget budget;
         int checks = 0;
         for (std::int64_t ms = 0; ms <= 10000; ms += 20) {
-            budget.earn(each.engines, each.instances, timePoint(ms * 1000));
+            budget.refill(each.engines, each.instances, timePoint(ms * 1000));
             while (budget.spend())
                 ++checks;
         }
--- a/tests/LoadExchangeTest.cpp
+++ b/tests/LoadExchangeTest.cpp
@@ -76,7 +76,7 @@
                 m_sentBytes[id] += bytes;
                 m_receivedBytes[outgoing.address] += bytes;
                 if (!isCutOff(outgoing.address))
-                    m_exchanges.at(outgoing.address).take(outgoing.report, m_now);
+                    m_exchanges.at(outgoing.address).receive(outgoing.report, m_now);
             }
         }
     }
@@ -84,7 +84,7 @@
     /// @return the token layers of other instances on an engine as far as an instance knows; -1 if it knows no loads
     double othersTokenLayers(const std::string& id, std::uint64_t engine)
     {
-        const auto loads = m_exchanges.at(id).others(m_now);
+        const auto loads = m_exchanges.at(id).loadOfOthers(m_now);
         if (!loads)
             return -1;
         const auto found = loads->find(engine);
@@ -313,7 +313,7 @@
                 static_cast<double>(network.maxReceivedBytes()) < OverheadFactor * BytesPerRound, each.name);
         }
         for (const char* id : { "1000", "1004", "1008" }) {
-            const auto loads = network.exchange(id).others(network.now());
+            const auto loads = network.exchange(id).loadOfOthers(network.now());
             CHECK_TRUE_TEXT(loads.has_value(), each.name);
             CHECK_EQUAL_TEXT(each.engines, loads->size(), each.name);
             const std::uint64_t engine = engineKey(BackendId(std::to_string(9)));
@@ -333,10 +333,10 @@
         return LoadReport { InstanceId("a2"), DataCentreId("a"), sequence, LoadScope::Instance, 1,
             { { 7, tokenLayers, 1 } } };
     };
-    exchange.take(report(5, 50), now);
-    exchange.take(report(4, 40), now);
+    exchange.receive(report(5, 50), now);
+    exchange.receive(report(4, 40), now);
     (void)exchange.makeRound({}, now);
-    DOUBLES_EQUAL(50, exchange.others(now)->at(7).tokenLayers, 0.01);
+    DOUBLES_EQUAL(50, exchange.loadOfOthers(now)->at(7).tokenLayers, 0.01);
 }
 
 TEST(LoadExchange, DatagramsAreUnchangedByEncodingAndDecoding)
--- a/tests/RequestQuarantineTest.cpp
+++ b/tests/RequestQuarantineTest.cpp
@@ -73,13 +73,13 @@
 {
     RequestQuarantine quarantine;
     quarantine.add(report(1, 1), at(minutes(0)));
-    quarantine.forgetOld(at(minutes(11)));
+    quarantine.removeExpired(at(minutes(11)));
     CHECK_TRUE(quarantine.empty());
     for (std::uint64_t server = 1; server <= 3; ++server)
         quarantine.add(report(1, server), at(minutes(20)));
     CHECK_TRUE(quarantine.isQuarantined(request(1), at(minutes(49))));
     CHECK_FALSE(quarantine.isQuarantined(request(1), at(minutes(51))));
-    quarantine.forgetOld(at(minutes(51)));
+    quarantine.removeExpired(at(minutes(51)));
     CHECK_TRUE(quarantine.add(report(1, 9), at(minutes(52))) == RequestQuarantine::Change::Quarantined);
     CHECK_TRUE(quarantine.clear(request(1)));
     CHECK_FALSE(quarantine.clear(request(1)));
@@ -191,11 +191,11 @@
     for (const auto& each : cases) {
         CrashEvidence evidence;
         each.steps(evidence);
-        const auto findings = evidence.settle(at(milliseconds(4000)));
+        const auto findings = evidence.classifyEnds(at(milliseconds(4000)));
         CHECK_EQUAL_TEXT(each.crashes, findings.crashes.size(), each.name);
         CHECK_EQUAL_TEXT(each.dismissed, findings.dismissed.size(), each.name);
         CHECK_EQUAL_TEXT(0U, evidence.unclassifiedEndCount(request(1)), each.name);
-        CHECK_TRUE_TEXT(evidence.settle(at(milliseconds(4300))).crashes.empty(), each.name);
+        CHECK_TRUE_TEXT(evidence.classifyEnds(at(milliseconds(4300))).crashes.empty(), each.name);
     }
 }
 
--- a/tests/RoutingTest.cpp
+++ b/tests/RoutingTest.cpp
@@ -102,7 +102,7 @@
     for (const auto& [instance, plan] : before) {
         for (const BackendId& id : plan.watched())
             ++watchers[id];
-        for (const auto& [address, ids] : plan.tells())
+        for (const auto& [address, ids] : plan.reportTargets())
             reportedTo[address].insert(ids.begin(), ids.end());
     }
     for (const auto& backend : backends)
