--- a/programs/crocusmount-entry.cpp
+++ b/programs/crocusmount-entry.cpp
@@ -117,7 +117,7 @@
             m_peerLink = *std::move(link);
         }
         if (m_node.reducer().options().without.has(relay::Mechanism::StoreFeed))
-            m_mirror.refuseFeed();
+            m_mirror.disablePeerFeed();
         m_mirror.start();
         m_registry.start();
         m_lock.start();
@@ -150,7 +150,7 @@
         gauges.storeAgeMs = m_mirror.age().count();
         gauges.storeCalls = m_store.calls();
         gauges.logLinesDropped = relay::DecisionLog::dropped();
-        gauges.quarantined = reducer.quarantine().quarantined(m_node.now());
+        gauges.quarantined = reducer.quarantine().quarantinedCount(m_node.now());
         gauges.fedByPeer = m_mirror.isFed();
         gauges.unreadableValues = m_follower.unreadable() + m_registry.unreadable() + m_quarantine.unreadable();
         if (m_peerLink) {
--- a/src/core/ReducerState.cpp
+++ b/src/core/ReducerState.cpp
@@ -209,7 +209,7 @@
         if (news.reachable)
             m_backends.report(news.report, event.now - news.age, event.now, news.sequence);
         else
-            m_backends.heardUnreachable(news.report.backend, news.sequence);
+            m_backends.markUnreachableByPeer(news.report.backend, news.sequence);
     }
     if (!body.message.backends.empty())
         m_requests.roomMayHaveChanged();
--- a/src/edge/PeerLink.cpp
+++ b/src/edge/PeerLink.cpp
@@ -117,7 +117,7 @@
         return;
     }
     if (datagram->loads)
-        m_exchange.take(*datagram->loads, m_node.now());
+        m_exchange.receive(*datagram->loads, m_node.now());
     if (datagram->leavingInstance)
         m_registry.noteLeaving(*datagram->leavingInstance);
     if (!datagram->deadEngines.empty())
@@ -127,12 +127,12 @@
     if (!datagram->crashes.empty())
         m_node.post(relay::event::CrashesReported { datagram->crashes });
     if (!datagram->soundRequests.empty())
-        m_node.post(relay::event::SoundRequestsReported { datagram->soundRequests });
+        m_node.post(relay::event::HarmlessRequestsReported { datagram->soundRequests });
     if (datagram->storeChanges && !datagram->forwardUntil.empty())
         forward(*datagram, m_registry.self().id, datagram->forwardUntil);
     // The first instance of a data centre ignores its peers' copies while it can reach the store. If two instances
     // watch the store, the first one thus continues and the other one stops.
-    if (m_exchange.isFirst() && m_mirror.isStoreReachable())
+    if (m_exchange.hasLowestId() && m_mirror.isStoreReachable())
         return;
     if (datagram->storeChanges)
         m_mirror.applyPeerChanges(*datagram->storeChanges);
@@ -207,10 +207,10 @@
 
 /// Sends a finding to all other instances immediately. The next round would be too late, as the interval of the rounds
 /// is as long as the pause that callers accept.
-void PeerLink::onShareFinding(const relay::effect::ShareFinding& report)
+void PeerLink::onShareFinding(const relay::effect::ReportEngineState& report)
 {
     PeerDatagram datagram;
-    const bool isDead = report.finding == relay::effect::ShareFinding::Finding::Dead;
+    const bool isDead = report.finding == relay::effect::ReportEngineState::Finding::Dead;
     (isDead ? datagram.deadEngines : datagram.closedEngines)
         .push_back(relay::engineKey(report.engine, report.startedAt));
     sendToAll(encode(datagram));
@@ -230,7 +230,7 @@
         sendRepeatedly(encode(datagram));
 }
 
-void PeerLink::onShareSoundRequest(const relay::effect::ShareSoundRequest& sound)
+void PeerLink::onShareSoundRequest(const relay::effect::ShareHarmlessRequest& sound)
 {
     PeerDatagram datagram;
     datagram.soundRequests.push_back(sound.request);
@@ -294,7 +294,7 @@
         announceLeaving();
     reportStoreCopy();
     m_registry.setSilentInstances(m_exchange.silentInstances(m_node.now()));
-    auto loads = m_exchange.others(m_node.now());
+    auto loads = m_exchange.loadOfOthers(m_node.now());
     if (loads.has_value() != std::exchange(m_knowsOtherLoads, loads.has_value()))
         relay::DecisionLog::state(
             "loads", { { "known", loads.has_value() }, { "collector", m_exchange.isCollector() } });
--- a/src/relay/CrashEvidence.cpp
+++ b/src/relay/CrashEvidence.cpp
@@ -102,7 +102,7 @@
     return static_cast<std::size_t>(endedTogether) >= MinOthersInGroupFailure;
 }
 
-CrashEvidence::Findings CrashEvidence::settle(TimePoint now)
+CrashEvidence::Findings CrashEvidence::classifyEnds(TimePoint now)
 {
     Findings findings;
     for (auto& [server, end] : m_ends) {
@@ -117,7 +117,7 @@
     return findings;
 }
 
-std::size_t CrashEvidence::openCases(const RequestIdentity& request) const
+std::size_t CrashEvidence::unclassifiedEndCount(const RequestIdentity& request) const
 {
     const auto lostCount = std::count_if(m_lostAttempts.begin(), m_lostAttempts.end(),
         [&](const LostAttempt& each) { return each.suspect.request == request; });
--- a/src/relay/CrashEvidence.h
+++ b/src/relay/CrashEvidence.h
@@ -47,11 +47,11 @@
     };
     /// Classifies the ends that were confirmed long enough ago to tell a crash from a group failure.
     /// @return a report for each suspect of the ends that this call has classified
-    Findings settle(TimePoint now);
+    Findings classifyEnds(TimePoint now);
 
     /// @return the number of possible or confirmed ends of servers that are not classified yet and for which this
     ///         request is a suspect
-    std::size_t openCases(const RequestIdentity&) const;
+    std::size_t unclassifiedEndCount(const RequestIdentity&) const;
 
     /// @return servers that may have ended during an attempt, each with the time when the last such attempt was lost. A
     ///         check has to be sent after that time to show whether the server was still alive.
--- a/src/relay/RelayReducer.cpp
+++ b/src/relay/RelayReducer.cpp
@@ -128,11 +128,11 @@
     // Callers do not retry after UnknownRoute or UnknownKey, so an outdated configuration must not produce them.
     if (!call.route)
         return m_isStoreCopyOutdated ? Reason::NotConfigured : Reason::UnknownRoute;
-    if (m_drainRequestedAt && context.now > *m_drainRequestedAt + m_options.lastCall)
+    if (m_drainRequestedAt && context.now > *m_drainRequestedAt + m_options.acceptAfterDrainStart)
         return Reason::Draining;
     call.rank = call.route->rank;
     if (!m_routes->configuration().workspaces.empty() && !call.route->anonymous) {
-        const KeyHolder* holder = m_routes->holderOf(call.spec.key);
+        const WorkspaceKeys* holder = m_routes->workspaceByKey(call.spec.key);
         if (!holder)
             return m_isStoreCopyOutdated ? Reason::NotConfigured : Reason::UnknownKey;
         call.workspace = holder->workspace;
@@ -149,9 +149,9 @@
 {
     ++m_counters.calls;
     if (!m_routes && m_earlyCalls.size() < MaxEarlyCalls) {
-        const Duration patience = arrival.spec.patience;
-        const Duration wait = patience.count() > 0
-            ? std::min(m_options.configurationWait, scaled(patience, m_options.configurationWaitShare))
+        const Duration callerTimeout = arrival.spec.callerTimeout;
+        const Duration wait = callerTimeout.count() > 0
+            ? std::min(m_options.configurationWait, scaled(callerTimeout, m_options.configurationWaitShare))
             : m_options.configurationWait;
         m_earlyCalls.push_back({ arrival, context.now, context.now + wait });
         return;
@@ -174,14 +174,14 @@
         return;
     }
     const Route& route = *call.route;
-    const Duration patience = call.spec.patience.count() > 0 ? call.spec.patience : route.timeout;
-    call.deadline = arrived + std::min(patience, route.timeout);
+    const Duration callerTimeout = call.spec.callerTimeout.count() > 0 ? call.spec.callerTimeout : route.timeout;
+    call.deadline = arrived + std::min(callerTimeout, route.timeout);
     call.waitUntil = context.now + scaled(route.objective, m_options.queueWaitShare);
     const std::uint32_t expected
         = call.spec.expectedAnswerTokens ? call.spec.expectedAnswerTokens : call.spec.maxAnswerTokens;
     call.tokens = call.spec.promptTokens + expected;
     call.lastEventId = call.spec.resumeAfter.value_or(0);
-    budgetOf(call.service).earn();
+    budgetOf(call.service).addRequest();
     Call& stored = m_calls.emplace(call.id, std::move(call)).first->second;
     if (awaitsCrashVerdict(stored)) {
         holdCall(stored, context);
@@ -242,16 +242,16 @@
         call->meanEventGap += scaled(context.now - call->lastProgress - call->meanEventGap, EventGapWeight);
     }
     if (!call->main.eventsDelivered)
-        m_fleet.accepted(call->main.chain, context.now);
+        m_fleet.recordAccepted(call->main.chain, context.now);
     ++call->main.eventsDelivered;
     call->hasPartialAnswer = true;
     call->lastEventId = delivered.eventId;
     call->lastProgress = context.now;
     call->lastDeliveredAt = context.now;
-    m_fleet.progressed(call->main.chain, context.now);
+    m_fleet.recordProgress(call->main.chain, context.now);
     const TimePoint begun = call->main.answerBegunAt.value_or(call->main.startedAt);
-    if (!call->hasRunSoundly && context.now - begun >= SoundRun)
-        recordSoundRequest(*call, context);
+    if (!call->wasHarmless && context.now - begun >= MinHarmlessRun)
+        recordHarmlessRequest(*call, context);
 }
 
 void RelayReducer::on(const event::AttemptEnded& ended, Context& context)
@@ -262,8 +262,8 @@
     Call& call = *found;
     if (ended.result == AttemptResult::Completed) {
         keepOnly(call, ended.attempt, context);
-        m_fleet.succeeded(call.main.server);
-        recordSoundRequest(call, context);
+        m_fleet.recordSuccess(call.main.server);
+        recordHarmlessRequest(call, context);
         release(call, call.main, context);
         ++m_counters.completed;
         remove(call.id);
@@ -318,16 +318,16 @@
         checkNamedEngine(attempt, ended, context);
         if (ended.status == Misdirected) {
             // The server does not hold the layers that its entry lists, so all calls fail until the entry changes.
-            m_fleet.suspect(blamed, context.now + m_options.suspicion);
+            m_fleet.setAvoidedUntil(blamed, context.now + m_options.stallAvoidance);
             return;
         }
         if (!mayBeDead(blamed, context.now))
             queueOf(call).limit().rejected(queueOf(call).running(), context.now);
-        m_fleet.turnedAway(blamed, context.now);
+        m_fleet.recordRejection(blamed, context.now);
         return;
     case AttemptResult::ConnectFailed:
     case AttemptResult::Broken:
-        m_fleet.failed(blamed, context.now);
+        m_fleet.recordFailure(blamed, context.now);
         if (ended.result == AttemptResult::Broken)
             recordLostAttempt(call, attempt, context);
         // If the process has ended, the check is refused too, and the result is shared with all instances.
@@ -357,7 +357,7 @@
     if (countedAttempts(call) >= call.route->maxAttempts)
         return RetryLimit::Attempts;
     // A partial answer may be rejected more often: the retry budget and the caller's timeout bound its attempts.
-    if (!call.hasPartialAnswer && call.rejections >= m_options.mostRejections)
+    if (!call.hasPartialAnswer && call.rejections >= m_options.maxRejections)
         return RetryLimit::Rejections;
     if (context.now >= call.deadline)
         return RetryLimit::Deadline;
--- a/src/relay/RelayReducerPlacing.cpp
+++ b/src/relay/RelayReducerPlacing.cpp
@@ -107,7 +107,7 @@
 Duration RelayReducer::retryAfterFor(Reason reason, const Context& context) const
 {
     const auto between = [&](std::int64_t minMs, std::int64_t maxMs) {
-        const double fraction = spread(context.entropy, static_cast<std::uint64_t>(reason));
+        const double fraction = uniformFraction(context.entropy, static_cast<std::uint64_t>(reason));
         const double ms = static_cast<double>(minMs) + fraction * static_cast<double>(maxMs - minMs);
         return Duration(static_cast<std::int64_t>(ms * 1000));
     };
@@ -131,7 +131,7 @@
     const Duration shortage = queue.refused(context.now);
     const Duration lasted = m_options.without.has(Mechanism::ComeBackTime) ? Duration(0) : shortage;
     const Duration expected = std::clamp(lasted, MinExpectedShortage, MaxExpectedShortage);
-    const double fraction = spread(context.entropy, static_cast<std::uint64_t>(Reason::NoCapacity));
+    const double fraction = uniformFraction(context.entropy, static_cast<std::uint64_t>(Reason::NoCapacity));
     return scaled(expected, MinRetryAfterFactor + fraction * (MaxRetryAfterFactor - MinRetryAfterFactor));
 }
 
@@ -141,10 +141,10 @@
 /// @return the share of the retry burst, from 0 to 1, that is granted at the present age of the process
 double RelayReducer::retryBurstShare() const
 {
-    if (m_options.retryRipening.count() <= 0)
+    if (m_options.retryBurstRampUp.count() <= 0)
         return 1;
     const double age = std::chrono::duration<double>(m_now - m_startedAt.value_or(m_now)).count();
-    return std::min(1.0, age / std::chrono::duration<double>(m_options.retryRipening).count());
+    return std::min(1.0, age / std::chrono::duration<double>(m_options.retryBurstRampUp).count());
 }
 
 /// @return the retry budget of a service, which is created on first use
@@ -161,12 +161,13 @@
 {
     return std::any_of(chain.hops().begin(), chain.hops().end(), [&](const Hop& hop) {
         const auto server = m_fleet.servers().find(hop.backend);
-        const bool isAvoided = std::find(call.avoid.begin(), call.avoid.end(), hop.backend) != call.avoid.end();
+        const bool isAvoided = std::find(call.avoidedServers.begin(), call.avoidedServers.end(), hop.backend)
+            != call.avoidedServers.end();
         if (!isAvoided || server == m_fleet.servers().end())
             return false;
         const TimePoint until = server->second.avoidUntil;
         return now
-            < (call.hasPartialAnswer ? std::min(until, server->second.turnedAwayAt + MaxAnswerRetryPause) : until);
+            < (call.hasPartialAnswer ? std::min(until, server->second.lastRejectedAt + MaxAnswerRetryPause) : until);
     });
 }
 
--- a/src/relay/ServerFleet.cpp
+++ b/src/relay/ServerFleet.cpp
@@ -33,7 +33,7 @@
 
 EngineLoad FleetServer::ownLoad(TimePoint now) const
 {
-    return { others.engine, ownTokenLayers, static_cast<double>(ownCalls), now < unhealthyUntil ? 1.0 : 0.0 };
+    return { othersLoad.engine, ownTokenLayers, static_cast<double>(ownCalls), now < unhealthyUntil ? 1.0 : 0.0 };
 }
 
 Registration ServerFleet::upsert(const RegisteredServer& entry, TimePoint now)
@@ -68,7 +68,7 @@
     if (result.changed)
         position->second.listedAt = now;
     position->second.entry = entry;
-    position->second.others.engine = engineKey(entry.id, entry.startedAt);
+    position->second.othersLoad.engine = engineKey(entry.id, entry.startedAt);
     return result;
 }
 
@@ -143,13 +143,13 @@
 {
     m_knowsOthersLoad = loads.has_value();
     for (auto& [id, server] : m_servers) {
-        EngineLoad load { server.others.engine };
+        EngineLoad load { server.othersLoad.engine };
         if (loads) {
             if (const auto found = loads->find(load.engine); found != loads->end())
                 load = found->second;
         }
-        server.others = load;
-        server.reported = server.ownLoad(now);
+        server.othersLoad = load;
+        server.ownLoadAtLastReport = server.ownLoad(now);
     }
 }
 
@@ -164,13 +164,13 @@
     return loads;
 }
 
-void ServerFleet::progressed(const Chain& chain, TimePoint now)
+void ServerFleet::recordProgress(const Chain& chain, TimePoint now)
 {
     for (const Hop& hop : chain.hops()) {
         if (FleetServer* server = find(hop.backend)) {
             server->lastProgress = now;
             server->lastAliveAt = now;
-            server->rejectionsInRow = 0;
+            server->consecutiveRejections = 0;
             server->unhealthyUntil = {};
         }
     }
@@ -186,7 +186,7 @@
     }
 }
 
-void ServerFleet::failed(const BackendId& id, TimePoint now)
+void ServerFleet::recordFailure(const BackendId& id, TimePoint now)
 {
     FleetServer* server = find(id);
     if (!server)
@@ -198,7 +198,7 @@
     ++server->consecutiveFailures;
 }
 
-void ServerFleet::succeeded(const BackendId& id)
+void ServerFleet::recordSuccess(const BackendId& id)
 {
     FleetServer* server = find(id);
     if (!server)
@@ -207,41 +207,42 @@
     server->consecutiveFailures = 0;
 }
 
-void ServerFleet::turnedAway(const BackendId& id, TimePoint now)
+void ServerFleet::recordRejection(const BackendId& id, TimePoint now)
 {
     FleetServer* server = find(id);
     if (!server)
         return;
-    server->turnedAwayAt = now;
+    server->lastRejectedAt = now;
     server->closedCheckDue = true;
     m_checkCandidates.insert(id);
-    const TimePoint until = now + FirstRejectionAvoidance * (1U << std::min(server->rejectionsInRow, MaxDoublings));
+    const TimePoint until
+        = now + FirstRejectionAvoidance * (1U << std::min(server->consecutiveRejections, MaxDoublings));
     server->avoidUntil = std::max(server->avoidUntil, until);
-    if (++server->rejectionsInRow >= UnhealthyRejections)
+    if (++server->consecutiveRejections >= UnhealthyRejections)
         server->unhealthyUntil = server->avoidUntil;
 }
 
-void ServerFleet::accepted(const Chain& chain, TimePoint now)
+void ServerFleet::recordAccepted(const Chain& chain, TimePoint now)
 {
     for (const Hop& hop : chain.hops()) {
         if (FleetServer* server = find(hop.backend))
-            server->acceptedAt = now;
+            server->lastAcceptedAt = now;
     }
 }
 
-void ServerFleet::closed(const BackendId& id, TimePoint now)
+void ServerFleet::markClosed(const BackendId& id, TimePoint now)
 {
     if (FleetServer* server = find(id))
         server->closedUntil = now + ClosedPause;
 }
 
-void ServerFleet::answeredCheck(const BackendId& id, double slowness)
+void ServerFleet::recordAnsweredCheck(const BackendId& id, double slowness)
 {
     FleetServer* server = find(id);
     if (!server)
         return;
     server->beingChecked = false;
-    server->lastAliveAt = std::max(server->lastAliveAt, server->lastCheck);
+    server->lastAliveAt = std::max(server->lastAliveAt, server->lastCheckAt);
     server->slowness = std::max(1.0, slowness);
     m_checkCandidates.insert(id);
     server->deadUntil = {};
@@ -249,7 +250,7 @@
     server->refusedCheck = false;
 }
 
-void ServerFleet::missedCheck(const BackendId& id, bool refused, TimePoint now)
+void ServerFleet::recordMissedCheck(const BackendId& id, bool refused, TimePoint now)
 {
     FleetServer* server = find(id);
     if (!server)
@@ -260,20 +261,20 @@
     ++server->unansweredChecks;
     server->deadUntil = now + DeadPause * (1U << doublings);
     m_checkCandidates.insert(id);
-    suspect(id, server->deadUntil);
+    setAvoidedUntil(id, server->deadUntil);
 }
 
-void ServerFleet::reportedDead(const BackendId& id, TimePoint now)
+void ServerFleet::recordReportedDead(const BackendId& id, TimePoint now)
 {
     FleetServer* server = find(id);
     if (!server)
         return;
     server->deadUntil = now + DeadPause;
     m_checkCandidates.insert(id);
-    suspect(id, server->deadUntil);
+    setAvoidedUntil(id, server->deadUntil);
 }
 
-void ServerFleet::suspect(const BackendId& id, TimePoint until)
+void ServerFleet::setAvoidedUntil(const BackendId& id, TimePoint until)
 {
     FleetServer* server = find(id);
     if (!server)
