--- a/programs/crocusmount-entry.cpp
+++ b/programs/crocusmount-entry.cpp
@@ -65,7 +65,7 @@
     options.without = without;
     options.dataCentre = DataCentreId(settings.dataCentre);
     options.retryRatio = settings.retryRatio * RetryLimitShare;
-    options.retryRipening = Duration(static_cast<std::int64_t>(settings.retryWindowSeconds * 1e6));
+    options.retryBurstRampUp = Duration(static_cast<std::int64_t>(settings.retryWindowSeconds * 1e6));
     options.rerouteDelay = Duration(static_cast<std::int64_t>(RerouteDelayShare * settings.drainMs * 1000));
     options.retrySlack = settings.retrySlack * RetryLimitShare;
     return options;
@@ -197,7 +197,7 @@
             co_await timer.async_wait(net::as_tuple(useAwaitable));
             if (Clock::now() > start + IdleCloseDelay)
                 m_front->closeIdle();
-            if (Clock::now() > start + MinimumDrainTime && !m_front->busy())
+            if (Clock::now() > start + MinimumDrainTime && !m_front->busyCalls())
                 break;
         }
         relay::DecisionLog::state("stop", { { "open_calls", m_node.reducer().openCalls() } });
--- a/src/core/ReducerState.cpp
+++ b/src/core/ReducerState.cpp
@@ -40,7 +40,7 @@
 void ReducerState::detectPause(TimePoint now)
 {
     if (m_lastEventAt && now - *m_lastEventAt > MaxEventGap) {
-        m_backends.distrustReports();
+        m_backends.expireReports();
         m_trustPeerReportsFrom = now + StaleReportWindow;
         m_nextProbeAt = TimePoint();
     }
@@ -132,12 +132,12 @@
 {
     if (m_backends.report(body.report, body.asked, event.now, 0))
         broadcastChange(body.report.backend, event.now, effects);
-    m_requests.roomMayHaveChanged();
+    m_requests.capacityMayHaveChanged();
 }
 
 void ReducerState::on(const event::BackendUnreachable& body, const Event& event, Effects& effects)
 {
-    if (m_backends.probeMissed(body.backend))
+    if (m_backends.recordMissedProbe(body.backend))
         broadcastChange(body.backend, event.now, effects);
 }
 
@@ -147,7 +147,7 @@
 {
     const auto news = m_backends.newsOf(id, now);
     if (news && m_watchPlan.watched().contains(id))
-        m_membership.spread({ *news }, effects);
+        m_membership.broadcast({ *news }, effects);
 }
 
 void ReducerState::updateWatchPlan(TimePoint now)
@@ -162,8 +162,8 @@
         std::string group = absl::StrCat(report.model, "/", report.layers.begin, "-", report.layers.end);
         backends.push_back({ report.backend, std::move(group), news.reachable });
     }
-    m_watchPlan = WatchPlan::make(
-        m_options.self.instance, m_membership.live(), backends, m_options.watchersPerBackend, m_options.subsetPerGroup);
+    m_watchPlan = WatchPlan::make(m_options.self.instance, m_membership.liveMembers(), backends,
+        m_options.watchersPerBackend, m_options.subsetPerGroup);
     m_backends.setSubset(m_watchPlan);
 }
 
@@ -185,7 +185,7 @@
     if (now < m_nextLoadReportAt)
         return;
     m_nextLoadReportAt = now + m_options.shareInterval;
-    for (const auto& [address, ids] : m_watchPlan.tells()) {
+    for (const auto& [address, ids] : m_watchPlan.reportTargets()) {
         std::vector<BackendNews> freshNews;
         for (const BackendId& id : ids) {
             auto news = m_backends.newsOf(id, now);
@@ -193,7 +193,7 @@
                 freshNews.push_back(*std::move(news));
         }
         if (!freshNews.empty())
-            m_membership.tell(address, std::move(freshNews), effects);
+            m_membership.sendReports(address, std::move(freshNews), effects);
     }
 }
 
@@ -201,7 +201,7 @@
 
 void ReducerState::on(const event::PeerMessageReceived& body, const Event& event, Effects& effects)
 {
-    m_membership.received(body.message, event.now, effects);
+    m_membership.handleMessage(body.message, event.now, effects);
     const bool trusted = event.now >= m_trustPeerReportsFrom;
     for (const BackendNews& news : body.message.backends) {
         if (!trusted)
@@ -212,14 +212,14 @@
             m_backends.markUnreachableByPeer(news.report.backend, news.sequence);
     }
     if (!body.message.backends.empty())
-        m_requests.roomMayHaveChanged();
+        m_requests.capacityMayHaveChanged();
     fetchNewerConfiguration(body.message.sender, event.now, effects);
     updateStoreFollowing(effects);
 }
 
 void ReducerState::on(const event::InstancesListed& body, const Event& event, Effects& effects)
 {
-    m_membership.listed(body, event.now);
+    m_membership.addInstances(body, event.now);
     updateStoreFollowing(effects);
 }
 
@@ -261,7 +261,7 @@
     // Callers may still use a cached list of entries that contains this instance. Until the list expires, this instance
     // refuses their requests, so that they try another one.
     const bool listExpired = now - *m_drainStartedAt >= m_options.entryLifetime;
-    const bool streamsEnded = !m_requests.open() || !m_options.guards.waitForStreams;
+    const bool streamsEnded = !m_requests.openRequestCount() || !m_options.guards.waitForStreams;
     if (!listExpired || !streamsEnded)
         return;
     m_isDrainReported = true;
