--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -47,7 +47,7 @@
 /// Measurements of one simulated run.
 struct Outcome {
     double throughput = 0; ///< tokens per second delivered to callers, lookups included
-    double goodput = 0; ///< tokens per second of generation requests that completed
+    double goodput = 0; ///< tokens per second of generation requests that completed within their deadlines
     double lookupP50 = 0; ///< milliseconds
     double lookupP95 = 0; ///< milliseconds
     double lookupP99 = 0; ///< milliseconds
