--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -1,5 +1,6 @@
-// What instances spend on acting together, by size, in virtual time: bytes, time to come in force, time to notice a
-// death. The same figures on every machine.
+// Measures the cost of coordination between instances at several sizes of deployment: gossip traffic, the time until a
+// configuration change is in force, and the time until every instance knows that another one died. The simulation runs
+// in virtual time, so its figures don't depend on the computer.
 
 #include "bench/Figures.h"
 #include "programs/CommandLine.h"
@@ -15,15 +16,19 @@
 
 using namespace crocusmount;
 
-struct Size {
+/// Size and network of one simulated deployment.
+struct DeploymentSize {
     std::uint32_t instances = 9;
     std::uint32_t engines = 43;
     std::uint32_t dataCentres = 3;
     std::uint32_t models = 1;
-    std::uint32_t subset = 0;
-    bool today = true; ///< a fraction of a millisecond between data centres; else regions
+    std::uint32_t subsetPerGroup = 0; ///< value of ReducerOptions::subsetPerGroup
+    bool hasNearbyDataCentres
+        = true; ///< whether links take 0.3 ms, as between nearby data centres, or 20 ms, as between regions
 };
 
+/// @param share  quantile from 0 to 1
+/// @return milliseconds, 0 if there are no values
 double percentile(std::vector<Duration> values, double share)
 {
     if (values.empty())
@@ -36,17 +41,18 @@
 constexpr std::uint32_t StagesPerModel = 4;
 constexpr std::uint32_t LayersPerStage = 12;
 
-std::unique_ptr<World> makeWorld(const Size& size)
+/// Starts a simulated deployment and lets it settle.
+std::unique_ptr<World> makeWorld(const DeploymentSize& size)
 {
     World::Options options;
     options.entries = size.instances;
     options.dataCentres = size.dataCentres;
     options.tick = std::chrono::milliseconds(50);
     options.checkForce = false;
-    options.linkLatency = size.today ? std::chrono::microseconds(300) : std::chrono::milliseconds(20);
+    options.linkLatency = size.hasNearbyDataCentres ? std::chrono::microseconds(300) : std::chrono::milliseconds(20);
     options.sizeOf = [](const PeerMessage& message) { return encode(message).size(); };
-    options.core.subsetPerGroup = size.subset;
-    if (size.subset) {
+    options.core.subsetPerGroup = size.subsetPerGroup;
+    if (size.subsetPerGroup) {
         options.core.shareInterval = std::chrono::milliseconds(2500);
         options.core.reportLifetime = std::chrono::seconds(5);
     }
@@ -66,7 +72,8 @@
     return world;
 }
 
-void atRest(World& world, const Size& size, const std::string& name, Figures& figures)
+/// Measures the gossip traffic of a deployment without requests or changes.
+void measureIdleTraffic(World& world, const DeploymentSize& size, const std::string& name, Figures& figures)
 {
     constexpr int seconds = 10;
     const std::uint64_t messages = world.peerMessages();
@@ -80,7 +87,8 @@
     figures.add(name + ": instances that watch the store", static_cast<double>(world.followers()));
 }
 
-void inForce(World& world, const std::string& name, Figures& figures)
+/// Measures the time from the acceptance of a configuration change until it is in force on each instance.
+void measureChangePropagation(World& world, const std::string& name, Figures& figures)
 {
     constexpr int changes = 10;
     world.forgetForceTimes();
@@ -96,6 +104,8 @@
         static_cast<double>(world.entryCount() * changes) - static_cast<double>(world.forceTimes().size()), 0);
 }
 
+/// @param dead  index of the dead instance
+/// @return whether no live instance still lists the dead instance in another state than Dead
 bool allKnowOfDeath(World& world, std::size_t dead)
 {
     const InstanceId name(absl::StrCat("e", dead));
@@ -110,7 +120,8 @@
     return true;
 }
 
-void death(World& world, const std::string& name, Figures& figures)
+/// Kills an instance and measures the time until all others know of its death, in steps of 200 ms.
+void measureDeathDetection(World& world, const std::string& name, Figures& figures)
 {
     constexpr Duration step = std::chrono::milliseconds(200);
     constexpr Duration limit = std::chrono::seconds(40);
@@ -129,17 +140,17 @@
     const Arguments arguments = readArguments(argc, argv, "Usage: crocusmount-control [options]\n",
         { { "json", "FILE", "write the figures as JSON" }, { "check", "", "exit 1 if a bound is broken" },
             { "largest", "N", "leave out sizes with more instances" } });
-    const Size sizes[] = { { 9, 43, 3, 1, 0, true }, { 30, 100, 3, 2, 3, true }, { 100, 300, 8, 4, 3, false },
+    const DeploymentSize sizes[] = { { 9, 43, 3, 1, 0, true }, { 30, 100, 3, 2, 3, true }, { 100, 300, 8, 4, 3, false },
         { 330, 820, 8, 6, 3, false } };
     Figures figures;
-    for (const Size& size : sizes) {
+    for (const DeploymentSize& size : sizes) {
         if (size.instances > static_cast<std::uint32_t>(arguments.number("largest", 1000).value_or(1000)))
             continue;
         const std::string name = absl::StrCat(size.instances, " instances, ", size.engines, " engines");
         const auto world = makeWorld(size);
-        atRest(*world, size, name, figures);
-        inForce(*world, name, figures);
-        death(*world, name, figures);
+        measureIdleTraffic(*world, size, name, figures);
+        measureChangePropagation(*world, name, figures);
+        measureDeathDetection(*world, name, figures);
     }
     std::cout << figures.table();
     if (arguments.has("json"))
