--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,4 +1,5 @@
-// Slopes of memory, bytes and processor time against each of the sizes that grow, for docs/CAPACITY.md.
+// Measures how memory and processor time of the core grow with the number of workspaces, backend servers, instances,
+// streams and claims, and writes the table of slopes in docs/CAPACITY.md.
 
 #include "core/EventJson.h"
 #include "crocusmount/Reducer.h"
@@ -18,19 +19,22 @@
 
 using namespace crocusmount;
 
-struct Size {
+/// Size of the deployment whose state a reducer holds.
+struct DeploymentSize {
     int workspaces = 10;
     int engines = 43;
     int members = 9;
-    int subset = 0;
+    int subsetPerGroup = 0; ///< value of ReducerOptions::subsetPerGroup
 };
 
+/// @return bytes that are allocated on the heap
 std::size_t heapInUse()
 {
     const struct mallinfo2 info = mallinfo2();
     return info.uordblks + info.hblkhd;
 }
 
+/// @return processor time that this process has used, in microseconds
 double cpuMicros()
 {
     timespec time {};
@@ -38,16 +42,16 @@
     return static_cast<double>(time.tv_sec) * 1e6 + static_cast<double>(time.tv_nsec) / 1e3;
 }
 
-/// A reducer that holds the state of a size, as after some seconds of running.
-class Loaded {
+/// Drives a reducer that holds the configuration, members and backend reports of a deployment.
+class LoadedReducer {
 public:
-    explicit Loaded(const Size& size)
+    explicit LoadedReducer(const DeploymentSize& size)
         : m_size(size)
     {
         ReducerOptions options;
         options.self = { InstanceId("entry-0"), "10.0.0.1:7001", "10.0.0.1:7000", DataCentreId("dc0"), 1,
             MemberState::Alive, Revision() };
-        options.subsetPerGroup = static_cast<std::uint32_t>(size.subset);
+        options.subsetPerGroup = static_cast<std::uint32_t>(size.subsetPerGroup);
         m_reducer = *Reducer::make(options);
         event::InstancesListed listed;
         for (int i = 1; i < size.members; ++i)
@@ -76,6 +80,7 @@
         reportAll();
     }
 
+    /// Delivers a report from each backend server.
     void reportAll()
     {
         for (int i = 0; i < m_size.engines; ++i) {
@@ -86,7 +91,7 @@
         }
     }
 
-    /// One second of an idle instance: ticks, its probes answered, the gossip of one round.
+    /// Simulates one second of an idle instance: delivers ticks, answers its probes and replies to its gossip messages.
     void idleSecond()
     {
         for (int tick = 0; tick < 100; ++tick) {
@@ -94,13 +99,15 @@
             send(event::Tick {});
             for (const Effect& effect : Effects(m_effects)) {
                 if (const auto* probe = std::get_if<effect::ProbeBackend>(&effect))
-                    answer(*probe);
+                    answerProbe(*probe);
                 else if (const auto* peer = std::get_if<effect::SendPeerMessage>(&effect))
-                    peerReply(*peer);
+                    replyToPeer(*peer);
             }
         }
     }
 
+    /// Runs requests of one token each.
+    /// @return mean processor time per request in microseconds
     double requestMicros(int count)
     {
         const double before = cpuMicros();
@@ -121,7 +128,8 @@
         return (cpuMicros() - before) / count;
     }
 
-    void open(int streams)
+    /// Opens streams with prompts of 2000 bytes and delivers 250 tokens on each.
+    void openStreams(int streams)
     {
         for (int i = 0; i < streams; ++i) {
             RequestSpec spec;
@@ -140,7 +148,8 @@
         }
     }
 
-    void claim(int count)
+    /// Delivers a shard that holds the given number of claims.
+    void addClaims(int count)
     {
         event::ClaimsRead read { ShardId(0), true, 5, 1, { ClaimBatch { 1, m_now, {} } } };
         for (int i = 0; i < count; ++i)
@@ -162,7 +171,8 @@
         m_reducer->reduce(Event { m_now, ++m_entropy * 0x9e3779b97f4a7c15ULL, std::move(body) }, m_effects);
     }
 
-    void answer(const effect::ProbeBackend& probe)
+    /// Delivers the report of the probed backend server.
+    void answerProbe(const effect::ProbeBackend& probe)
     {
         const int i = std::stoi(probe.backend.value().substr(7));
         const std::uint32_t begin = static_cast<std::uint32_t>(i % 4) * 12;
@@ -171,8 +181,9 @@
             m_now });
     }
 
-    /// What comes in is as much as what goes out: the message is written, read and taken in.
-    void peerReply(const effect::SendPeerMessage& sent)
+    /// Encodes and decodes a sent message and delivers it as the reply, so that the instance receives as much as it
+    /// sends.
+    void replyToPeer(const effect::SendPeerMessage& sent)
     {
         const auto read = decodePeerMessage(encode(sent.message));
         PeerMessage reply = *read;
@@ -181,7 +192,7 @@
         send(event::PeerMessageReceived { std::move(reply) });
     }
 
-    Size m_size;
+    DeploymentSize m_size;
     std::unique_ptr<Reducer> m_reducer;
     Effects m_effects;
     TimePoint m_now = timePoint(1000000000);
@@ -189,60 +200,65 @@
     std::uint64_t m_requests = 0;
 };
 
-/// A straight line through points, and how far the points are from it at most.
+/// Least-squares line through measured points.
 struct Fit {
-    double slope = 0;
-    double base = 0;
-    double worst = 0; ///< largest relative distance
+    double slope = 0; ///< growth per unit of size
+    double intercept = 0; ///< value at size 0
+    double maxRelativeError = 0; ///< largest distance of a point from the line, as a share of the point's value
 
-    double at(double size) const { return base + slope * size; }
+    double at(double size) const { return intercept + slope * size; }
 };
 
 Fit fit(const std::vector<std::pair<double, double>>& points)
 {
-    double sx = 0, sy = 0, sxx = 0, sxy = 0;
+    double sumX = 0, sumY = 0, sumXX = 0, sumXY = 0;
     const auto n = static_cast<double>(points.size());
     for (const auto& [x, y] : points) {
-        sx += x;
-        sy += y;
-        sxx += x * x;
-        sxy += x * y;
+        sumX += x;
+        sumY += y;
+        sumXX += x * x;
+        sumXY += x * y;
     }
     Fit line;
-    line.slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-    line.base = (sy - line.slope * sx) / n;
+    line.slope = (n * sumXY - sumX * sumY) / (n * sumXX - sumX * sumX);
+    line.intercept = (sumY - line.slope * sumX) / n;
     for (const auto& [x, y] : points)
-        line.worst = std::max(line.worst, std::abs(line.at(x) - y) / std::max(1e-9, std::abs(y)));
+        line.maxRelativeError = std::max(line.maxRelativeError, std::abs(line.at(x) - y) / std::max(1e-9, std::abs(y)));
     return line;
 }
 
+/// A figure that is measured at several sizes and extrapolated to a target size.
 struct Slope {
     const char* name;
     const char* unit;
     std::vector<double> sizes;
-    double target;
-    bool exact; ///< the same on every machine, so the page is held against it
-    std::function<double(int)> measure;
+    double targetSize; ///< size to extrapolate to
+    bool
+        isReproducible; ///< whether the figure is equal on every computer, so that --check can compare the page with it
+    std::function<double(int)> measure; ///< returns the figure at a size, in the unit
 };
 
-double heapOf(const std::function<void(Loaded&)>& fill, const Size& size)
+/// @return bytes of heap that a call of fill adds to a reducer of the given size
+double heapOf(const std::function<void(LoadedReducer&)>& fill, const DeploymentSize& size)
 {
-    Loaded loaded(size);
+    LoadedReducer loaded(size);
     const std::size_t before = heapInUse();
     fill(loaded);
     return static_cast<double>(heapInUse() - before);
 }
 
-double heapOfState(const Size& size)
+/// @return bytes of heap that a reducer of the given size uses
+double heapOfState(const DeploymentSize& size)
 {
     const std::size_t before = heapInUse();
-    const Loaded loaded(size);
+    const LoadedReducer loaded(size);
     return static_cast<double>(heapInUse() - before);
 }
 
-double idleMicros(const Size& size)
+/// @return processor time in microseconds that an idle instance uses per second, after a warm-up
+double idleMicros(const DeploymentSize& size)
 {
-    Loaded loaded(size);
+    LoadedReducer loaded(size);
     for (int i = 0; i < 6; ++i)
         loaded.idleSecond();
     constexpr int seconds = 5;
@@ -252,9 +268,10 @@
     return (cpuMicros() - before) / seconds;
 }
 
-double requestMicros(const Size& size)
+/// @return mean processor time per request in microseconds, after a warm-up
+double requestMicros(const DeploymentSize& size)
 {
-    Loaded loaded(size);
+    LoadedReducer loaded(size);
     loaded.idleSecond();
     loaded.requestMicros(200);
     return loaded.requestMicros(3000);
@@ -277,11 +294,11 @@
             } },
         { "memory by open streams of 250 tokens and 2 KB prompts", "bytes", { 50, 100, 200, 400 }, 530, true,
             [](int n) {
-                return heapOf([n](Loaded& loaded) { loaded.open(n); }, { 10, 43, 9, 0 });
+                return heapOf([n](LoadedReducer& loaded) { loaded.openStreams(n); }, { 10, 43, 9, 0 });
             } },
         { "memory by claims remembered", "bytes", { 1000, 5000, 20000, 50000 }, 100000, true,
             [](int n) {
-                return heapOf([n](Loaded& loaded) { loaded.claim(n); }, { 10, 43, 9, 0 });
+                return heapOf([n](LoadedReducer& loaded) { loaded.addClaims(n); }, { 10, 43, 9, 0 });
             } },
         { "idle control of the core by engines, subset of 6 a group, 9 instances", "us/s", { 43, 100, 200, 400 }, 820,
             false,
@@ -303,12 +320,15 @@
     };
 }
 
-std::string measured(bool exactOnly)
+/// Measures the slopes.
+/// @param reproducibleOnly  whether to leave out the figures that depend on the computer
+/// @return a Markdown table with one row per slope
+std::string measureTable(bool reproducibleOnly)
 {
     std::string text = "| slope | unit | at sizes | measured | per unit of size | worst fit error | at the target |\n"
                        "| --- | --- | --- | --- | --- | --- | --- |\n";
     for (const Slope& slope : slopes()) {
-        if (exactOnly && !slope.exact)
+        if (reproducibleOnly && !slope.isReproducible)
             continue;
         std::vector<std::pair<double, double>> points;
         std::string sizes;
@@ -320,13 +340,13 @@
         }
         const Fit line = fit(points);
         absl::StrAppendFormat(&text, "| %s | %s | %s | %s | %.4g | %.0f%% | %.0f at %.0f |\n", slope.name, slope.unit,
-            sizes, values, line.slope, line.worst * 100, line.at(slope.target), slope.target);
+            sizes, values, line.slope, line.maxRelativeError * 100, line.at(slope.targetSize), slope.targetSize);
     }
     return text;
 }
 
-constexpr const char* beginMark = "<!-- slopes: begin -->\n";
-constexpr const char* endMark = "<!-- slopes: end -->";
+constexpr const char* TableBeginMarker = "<!-- slopes: begin -->\n";
+constexpr const char* TableEndMarker = "<!-- slopes: end -->";
 
 std::string readFile(const std::string& path)
 {
@@ -336,8 +356,10 @@
     return text.str();
 }
 
-/// @return the last number of the row that begins as another does; NaN where there is none
-double targetOf(const std::string& page, const std::string& row)
+/// @param row  a table row, of which only the first column is used
+/// @return the number at the start of the last column in the row of the page with an equal first column, NaN if there
+/// is no such row
+double valueAtTarget(const std::string& page, const std::string& row)
 {
     const std::string name = row.substr(0, row.find('|', 2));
     const auto begin = page.find(name);
@@ -348,23 +370,26 @@
     return std::strtod(line.c_str() + column + 1, nullptr);
 }
 
-/// @return whether the page's figures of memory are those measured now, give or take the allocator's mood
-bool pageHolds(const std::string& page, const std::string& exactRows)
+/// Prints each row that deviates.
+/// @param reproducibleRows  the table measured now
+/// @return whether each memory figure of the page is within 10 % of the measured one, as heap usage varies with the
+///     allocator
+bool pageMatches(const std::string& page, const std::string& reproducibleRows)
 {
-    std::stringstream lines(exactRows);
+    std::stringstream lines(reproducibleRows);
     std::string line;
-    bool holds = true;
+    bool matches = true;
     while (std::getline(lines, line)) {
         constexpr double tolerance = 0.1;
-        const double now = targetOf(exactRows, line);
-        const double then = targetOf(page, line);
-        const bool heading = line.find("memory") == std::string::npos;
-        if (heading || std::abs(now - then) <= tolerance * then)
+        const double current = valueAtTarget(reproducibleRows, line);
+        const double recorded = valueAtTarget(page, line);
+        const bool isUnchecked = line.find("memory") == std::string::npos;
+        if (isUnchecked || std::abs(current - recorded) <= tolerance * recorded)
             continue;
         std::cerr << "not in docs/CAPACITY.md as measured now:\n" << line << "\n";
-        holds = false;
+        matches = false;
     }
-    return holds;
+    return matches;
 }
 
 } // namespace
@@ -375,18 +400,18 @@
         { { "page", "FILE", "rewrite the table of slopes in this page" },
             { "check", "FILE", "exit 1 if the page's figures of memory no longer hold" } });
     if (arguments.has("check"))
-        return pageHolds(readFile(arguments.get("check")), measured(true)) ? ExitOk : ExitFailed;
-    const std::string table = measured(false);
+        return pageMatches(readFile(arguments.get("check")), measureTable(true)) ? ExitOk : ExitFailed;
+    const std::string table = measureTable(false);
     std::cout << table;
     if (arguments.has("page")) {
         std::string page = readFile(arguments.get("page"));
-        const auto begin = page.find(beginMark);
-        const auto end = page.find(endMark);
+        const auto begin = page.find(TableBeginMarker);
+        const auto end = page.find(TableEndMarker);
         if (begin == std::string::npos || end == std::string::npos) {
             std::cerr << "the page has no marks for the table\n";
             return ExitFailed;
         }
-        page.replace(begin, end - begin, absl::StrCat(beginMark, table));
+        page.replace(begin, end - begin, absl::StrCat(TableBeginMarker, table));
         std::ofstream(arguments.get("page")) << page;
     }
     return ExitOk;
