--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -233,8 +233,7 @@
     const char* unit;
     std::vector<double> sizes;
     double targetSize; ///< size to extrapolate to
-    bool
-        isReproducible; ///< whether the figure is equal on every computer, so that --check can compare the page with it
+    bool isReproducible; ///< equal on every computer, so that --check can compare the page with it
     std::function<double(int)> measure; ///< returns the figure at a size, in the unit
 };
 
@@ -373,7 +372,7 @@
 /// Prints each row that deviates.
 /// @param reproducibleRows  the table measured now
 /// @return whether each memory figure of the page is within 10 % of the measured one, as heap usage varies with the
-///     allocator
+/// allocator
 bool pageMatches(const std::string& page, const std::string& reproducibleRows)
 {
     std::stringstream lines(reproducibleRows);
