--- a/bench/Figures.cpp
+++ b/bench/Figures.cpp
@@ -26,7 +26,7 @@
     return 0;
 }
 
-bool Figures::holds(const Figure& figure)
+bool Figures::isWithinBound(const Figure& figure)
 {
     switch (figure.limit) {
     case Limit::AtMost:
@@ -46,7 +46,7 @@
         absl::StrAppendFormat(&text, "%-58s %14.4f", figure.name, figure.value);
         if (figure.limit != Limit::None)
             absl::StrAppendFormat(&text, "  %s %.4f%s", figure.limit == Limit::AtMost ? "<=" : ">=", figure.bound,
-                holds(figure) ? "" : "  BROKEN");
+                isWithinBound(figure) ? "" : "  BROKEN");
         text += "\n";
     }
     return text;
@@ -61,11 +61,11 @@
     return text + "\n}\n";
 }
 
-std::string Figures::broken() const
+std::string Figures::violatedBounds() const
 {
     std::string text;
     for (const Figure& figure : m_figures) {
-        if (!holds(figure))
+        if (!isWithinBound(figure))
             absl::StrAppendFormat(&text, "%s is %.4f, bound %.4f\n", figure.name, figure.value, figure.bound);
     }
     return text;
--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -155,6 +155,6 @@
     std::cout << figures.table();
     if (arguments.has("json"))
         std::ofstream(arguments.get("json")) << figures.json();
-    std::cerr << figures.broken();
-    return arguments.has("check") && !figures.broken().empty() ? ExitFailed : ExitOk;
+    std::cerr << figures.violatedBounds();
+    return arguments.has("check") && !figures.violatedBounds().empty() ? ExitFailed : ExitOk;
 }
