--- a/bench/ReducerBench.cpp
+++ b/bench/ReducerBench.cpp
@@ -1,4 +1,5 @@
-// What the core costs on one processor: run with --benchmark_min_time and read events/s.
+// Measures the processor time and allocations of the core per operation on one processor. Run with
+// --benchmark_min_time and read items_per_second.
 
 #include "crocusmount/Reducer.h"
 
@@ -9,14 +10,14 @@
 
 namespace {
 
-std::uint64_t allocations = 0;
+std::uint64_t allocationCount = 0; ///< calls of operator new since the program started
 
 } // namespace
 
-// Counts what the core allocates.
+// Replaces the global allocation functions in order to count the allocations of the core.
 void* operator new(std::size_t size)
 {
-    ++allocations;
+    ++allocationCount;
     if (void* memory = std::malloc(size))
         return memory;
     throw std::bad_alloc();
@@ -29,31 +30,31 @@
 
 using namespace crocusmount;
 
-/// Puts allocations for each iteration beside the times.
-class CountedAllocations {
+/// Reports the mean number of allocations per iteration, from construction to destruction, as a benchmark counter.
+class AllocationCounter {
 public:
-    explicit CountedAllocations(benchmark::State& state)
+    explicit AllocationCounter(benchmark::State& state)
         : m_state(state)
-        , m_before(allocations)
+        , m_initialCount(allocationCount)
     {
     }
-    ~CountedAllocations()
+    ~AllocationCounter()
     {
         m_state.counters["allocations"]
-            = static_cast<double>(allocations - m_before) / static_cast<double>(m_state.iterations());
+            = static_cast<double>(allocationCount - m_initialCount) / static_cast<double>(m_state.iterations());
     }
-    CountedAllocations(const CountedAllocations&) = delete;
-    CountedAllocations& operator=(const CountedAllocations&) = delete;
+    AllocationCounter(const AllocationCounter&) = delete;
+    AllocationCounter& operator=(const AllocationCounter&) = delete;
 
 private:
     benchmark::State& m_state;
-    std::uint64_t m_before;
+    std::uint64_t m_initialCount;
 };
 
-/// A reducer with a configuration and engines that have room for many streams.
-class Loaded {
+/// Drives a reducer with a configuration and backend servers that have capacity for many streams.
+class LoadedReducer {
 public:
-    Loaded(int engines, int workspaces, int members)
+    LoadedReducer(int engines, int workspaces, int members)
     {
         ReducerOptions options;
         options.self
@@ -81,6 +82,7 @@
         reportAll();
     }
 
+    /// Delivers a report from each backend server.
     void reportAll()
     {
         for (int i = 0; i < m_engines; ++i) {
@@ -91,6 +93,7 @@
         }
     }
 
+    /// @return the effects of the event, valid until the next call
     const Effects& send(EventBody body)
     {
         m_effects.clear();
@@ -98,7 +101,10 @@
         return m_effects;
     }
 
-    effect::StartAttempt open(std::uint32_t tokens)
+    /// Delivers a request.
+    /// @param tokens  maximum length of the answer
+    /// @return the attempt that the reducer starts for the request, default-constructed if it starts none
+    effect::StartAttempt openStream(std::uint32_t tokens)
     {
         RequestSpec spec;
         spec.workspace = WorkspaceId("w0");
@@ -113,7 +119,7 @@
         return {};
     }
 
-    void pass(Duration span) { m_now += span; }
+    void advance(Duration span) { m_now += span; }
     TimePoint now() const { return m_now; }
 
 private:
@@ -125,17 +131,17 @@
     int m_engines = 0;
 };
 
-/// One token of one of many open streams.
+/// Measures one token, received in turn by each of many open streams.
 void benchToken(benchmark::State& state)
 {
-    Loaded loaded(40, 10, 9);
+    LoadedReducer loaded(40, 10, 9);
     std::vector<effect::StartAttempt> streams;
     streams.reserve(static_cast<std::size_t>(state.range(0)));
     for (int i = 0; i < state.range(0); ++i)
-        streams.push_back(loaded.open(1000000000));
+        streams.push_back(loaded.openStream(1000000000));
     std::vector<std::uint32_t> next(streams.size());
     std::size_t stream = 0;
-    const CountedAllocations counted(state);
+    const AllocationCounter counted(state);
     for (auto _ : state) {
         const auto& start = streams[stream];
         loaded.send(
@@ -146,13 +152,13 @@
 }
 BENCHMARK(benchToken)->Arg(16)->Arg(512)->Iterations(2000000);
 
-/// A whole request of one token: arrival, choice of a chain, token, end.
+/// Measures a whole request of one token: arrival, choice of a chain, token, end.
 void benchRequest(benchmark::State& state)
 {
-    Loaded loaded(static_cast<int>(state.range(0)), 10, 9);
-    const CountedAllocations counted(state);
+    LoadedReducer loaded(static_cast<int>(state.range(0)), 10, 9);
+    const AllocationCounter counted(state);
     for (auto _ : state) {
-        const auto start = loaded.open(1);
+        const auto start = loaded.openStream(1);
         loaded.send(event::TokenReceived { start.attempt, start.attempt, 0, "token ", start.chain.trace() });
         loaded.send(event::AttemptEnded { start.attempt, 1 });
     }
@@ -160,13 +166,13 @@
 }
 BENCHMARK(benchRequest)->Arg(40)->Arg(100)->Arg(200)->Arg(400)->Arg(820);
 
-/// Ten milliseconds of an idle instance's control: ticks, probes that are due, gossip that is due.
+/// Measures one tick of an idle instance every 10 ms, with the probes and gossip messages that are due.
 void benchIdleTick(benchmark::State& state)
 {
-    Loaded loaded(static_cast<int>(state.range(0)), 10, static_cast<int>(state.range(1)));
-    const CountedAllocations counted(state);
+    LoadedReducer loaded(static_cast<int>(state.range(0)), 10, static_cast<int>(state.range(1)));
+    const AllocationCounter counted(state);
     for (auto _ : state) {
-        loaded.pass(std::chrono::milliseconds(10));
+        loaded.advance(std::chrono::milliseconds(10));
         benchmark::DoNotOptimize(loaded.send(event::Tick {}).size());
     }
     state.SetItemsProcessed(state.iterations());
@@ -179,12 +185,12 @@
     ->Args({ 820, 330 })
     ->Iterations(2000);
 
-/// A change of one object among many.
+/// Measures the change of one workspace among many.
 void benchConfigurationChange(benchmark::State& state)
 {
-    Loaded loaded(820, static_cast<int>(state.range(0)), 9);
+    LoadedReducer loaded(820, static_cast<int>(state.range(0)), 9);
     std::int64_t revision = 1;
-    const CountedAllocations counted(state);
+    const AllocationCounter counted(state);
     for (auto _ : state) {
         ConfigurationChange change { Revision(revision), Revision(revision + 1),
             { { "workspaces/w1", R"({"labels":{"tier":"gold"}})", Revision(revision + 1) } } };
--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -1,4 +1,5 @@
-// What an entry instance adds: the same streams sent to an engine directly and through an instance, in turns.
+// Measures the latency and processor time that an entry instance adds: sends equal streams to a backend server directly
+// and through an instance, in turns.
 
 #include "programs/CommandLine.h"
 #include "shell/HttpClient.h"
@@ -16,13 +17,14 @@
 
 using namespace crocusmount;
 
+/// Results of a number of streams.
 struct Sample {
-    std::vector<double> wholeUs;
-    std::uint64_t tokens = 0;
-    std::uint64_t failed = 0;
+    std::vector<double> durationsUs; ///< time from the request to the end of each stream, in microseconds
+    std::uint64_t tokens = 0; ///< events received, without the last one of each stream
+    std::uint64_t failed = 0; ///< streams without status 200 or without an end event
 };
 
-/// @return user and system time of a process, microseconds
+/// @return user and system time of a process in microseconds, read from /proc
 double cpuMicros(long pid)
 {
     std::ifstream file(absl::StrCat("/proc/", pid, "/stat"));
@@ -34,12 +36,15 @@
     return ticks * 1e6 / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
+/// @param share  quantile from 0 to 1
+/// @return 0 if there are no values
 double percentile(std::vector<double> values, double share)
 {
     std::sort(values.begin(), values.end());
     return values.empty() ? 0 : values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
+/// Sends a call repeatedly, each time after the previous stream has ended, and adds the results to the sample.
 Awaitable<void> sendMany(HttpClient& client, const HttpCall& call, int count, Sample& sample)
 {
     for (int i = 0; i < count; ++i) {
@@ -53,17 +58,19 @@
                 return true;
             });
         };
-        HttpCall each = call;
+        HttpCall attempt = call;
         const auto begin = std::chrono::steady_clock::now();
         const HttpAnswer answer
-            = co_await client.stream(std::move(each), std::chrono::milliseconds(5000), std::move(receive), nullptr);
-        sample.wholeUs.push_back(
+            = co_await client.stream(std::move(attempt), std::chrono::milliseconds(5000), std::move(receive), nullptr);
+        sample.durationsUs.push_back(
             std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count());
         sample.tokens += frames ? frames - 1 : 0;
         sample.failed += answer.status == 200 && ended ? 0 : 1;
     }
 }
 
+/// Runs concurrent callers until each has sent its calls.
+/// @param count  calls of each caller
 Sample run(const HttpCall& call, int callers, int count)
 {
     net::io_context context(1);
@@ -75,6 +82,7 @@
     return sample;
 }
 
+/// @return a call that opens a stream on the backend server
 HttpCall directCall(const std::string& engine, int tokens)
 {
     HttpCall call;
@@ -86,6 +94,9 @@
     return call;
 }
 
+/// @param token  access token of a workspace
+/// @param tokens  length of the answer
+/// @return a call that requests a completion from the instance
 HttpCall entryCall(const std::string& entry, const std::string& token, int tokens)
 {
     HttpCall call;
@@ -99,9 +110,9 @@
 
 void print(const char* name, const Sample& sample)
 {
-    std::cout << name << ": streams " << sample.wholeUs.size() << " failed " << sample.failed << " tokens "
-              << sample.tokens << " whole us p50 " << percentile(sample.wholeUs, 0.5) << " p99 "
-              << percentile(sample.wholeUs, 0.99) << "\n";
+    std::cout << name << ": streams " << sample.durationsUs.size() << " failed " << sample.failed << " tokens "
+              << sample.tokens << " whole us p50 " << percentile(sample.durationsUs, 0.5) << " p99 "
+              << percentile(sample.durationsUs, 0.99) << "\n";
 }
 
 } // namespace
@@ -120,7 +131,7 @@
     double before = cpuMicros(pid);
     const Sample single = run(entryCall(entry, arguments.get("token"), 1), 1, 2000);
     print("entry, 1 token, 1 caller", single);
-    const double perRequest = (cpuMicros(pid) - before) / static_cast<double>(single.wholeUs.size());
+    const double perRequest = (cpuMicros(pid) - before) / static_cast<double>(single.durationsUs.size());
     std::cout << "entry CPU us per request of one token: " << perRequest << "\n";
     for (const int callers : { 1, 8, 32, 128 }) {
         constexpr int tokens = 200;
@@ -129,10 +140,10 @@
             run(directCall(engine, tokens), callers, count));
         before = cpuMicros(pid);
         const Sample sample = run(entryCall(entry, arguments.get("token"), tokens), callers, count);
-        const double spent = cpuMicros(pid) - before;
+        const double usedMicros = cpuMicros(pid) - before;
         print(absl::StrCat("entry, 200 tokens, ", callers, " callers").c_str(), sample);
         std::cout << "entry CPU us per token at " << callers << " callers: "
-                  << (spent - perRequest * static_cast<double>(sample.wholeUs.size()))
+                  << (usedMicros - perRequest * static_cast<double>(sample.durationsUs.size()))
                 / static_cast<double>(sample.tokens)
                   << "\n";
     }
