--- a/bench/control.cpp
+++ b/bench/control.cpp
@@ -23,8 +23,8 @@
     std::uint32_t dataCentres = 3;
     std::uint32_t models = 1;
     std::uint32_t subsetPerGroup = 0; ///< value of ReducerOptions::subsetPerGroup
-    bool hasNearbyDataCentres
-        = true; ///< whether links take 0.3 ms, as between nearby data centres, or 20 ms, as between regions
+    /// Whether links take 0.3 ms, as between nearby data centres, or 20 ms, as between regions.
+    bool hasNearbyDataCentres = true;
 };
 
 /// @param share  quantile from 0 to 1
@@ -105,7 +105,7 @@
 }
 
 /// @param dead  index of the dead instance
-/// @return whether no live instance still lists the dead instance in another state than Dead
+/// @return whether no live instance lists the dead instance in a state other than Dead
 bool allKnowOfDeath(World& world, std::size_t dead)
 {
     const InstanceId name(absl::StrCat("e", dead));
--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -40,8 +40,8 @@
     double lookupLoad = 1; ///< multiple of BaseLookupsPerSecond
     double nonRepeatableShare = 0; ///< share of generation requests that must not be repeated
     std::uint64_t seed = 1;
-    Duration killAfter {}; ///< time from the start of the measurement to the death of one large backend server, zero
-                           ///< for no death
+    /// Time from the start of the measurement to the death of one large backend server, zero for no death.
+    Duration killAfter {};
 };
 
 /// Measurements of one simulated run.
@@ -52,8 +52,8 @@
     double lookupP95 = 0; ///< milliseconds
     double lookupP99 = 0; ///< milliseconds
     double fairnessIndex = 0; ///< Jain's index over the ratio of each workspace's delivered tokens to its fair share
-    double smallWorkspaceCompletedShare
-        = 0; ///< share of the small workspaces' ended generation requests that completed
+    /// Share of the small workspaces' ended generation requests that completed.
+    double smallWorkspaceCompletedShare = 0;
     double wastedTokenShare = 0; ///< share of generated tokens that were not delivered
     double retriedAttempts = 0; ///< retried attempts of the run, which has at most one death
     double recoveryP50Ms = 0; ///< longest gap between tokens of the streams that the death interrupted
@@ -314,7 +314,7 @@
     return throughputBoundOf(world);
 }
 
-/// Requires that no request was lost and no invariant was violated.
+/// Adds bounds that allow no generation request without an end and no violated invariant.
 void requireInvariants(const Outcome& outcome, Figures& figures, const std::string& name)
 {
     figures.addAtMost(name + ": lost", static_cast<double>(outcome.unendedRequests), 0);
