--- a/tests/fakes/FakeEngine.h
+++ b/tests/fakes/FakeEngine.h
@@ -11,18 +11,18 @@
 
 namespace crocusmount {
 
-/// A model engine in virtual time: steps run in slots, first come, first served.
+/// A model engine in virtual time. Each step occupies one slot; waiting steps get slots in order of arrival.
 class FakeEngine {
 public:
-    /// Ways of misbehaving, each used up one by one.
+    /// How often each kind of misbehaviour is still to occur. World decrements a count with each occurrence.
     struct Faults {
-        std::uint32_t refuse = 0;
-        std::uint32_t wrongTrace = 0;
-        std::uint32_t duplicate = 0;
-        std::uint32_t cross = 0;
-        std::uint32_t gap = 0;
-        std::uint32_t truncate = 0;
-        std::uint32_t late = 0; ///< hands over one more frame after its attempt has ended
+        std::uint32_t refuse = 0; ///< attempts to refuse before they run
+        std::uint32_t wrongTrace = 0; ///< tokens to send with the trace of another chain and a wrong text
+        std::uint32_t duplicate = 0; ///< tokens to send twice
+        std::uint32_t cross = 0; ///< tokens before which to send a frame that names another attempt
+        std::uint32_t gap = 0; ///< tokens to omit
+        std::uint32_t truncate = 0; ///< attempts to end before the last token
+        std::uint32_t late = 0; ///< ended attempts after which to send their last token once more
     };
 
     explicit FakeEngine(BackendReport report)
@@ -37,6 +37,7 @@
 
     bool alive() const { return m_alive; }
     void die() { m_alive = false; }
+    /// Starts the engine again with a new generation, no running requests and every slot free.
     void revive()
     {
         m_alive = true;
@@ -45,9 +46,12 @@
         std::fill(m_slotFree.begin(), m_slotFree.end(), TimePoint());
     }
 
+    /// Delays steps that are begun before this time until then, and leaves probes unanswered.
     void pauseUntil(TimePoint time) { m_pausedUntil = time; }
     bool paused(TimePoint now) const { return now < m_pausedUntil; }
+    /// @param factor multiplies the duration of every step
     void setSlowFactor(double factor) { m_slowFactor = factor; }
+    /// Reports from now on that the engine is leaving; it keeps running.
     void leave(TimePoint now)
     {
         m_report.leaving = true;
@@ -56,8 +60,8 @@
     bool leaving() const { return m_report.leaving; }
     TimePoint leavingSince() const { return m_leavingSince; }
 
-    /// Takes the next free slot for one step.
-    /// @return when the step is done
+    /// Runs one step in the slot that becomes free first.
+    /// @return the time at which the step ends
     TimePoint runStep(TimePoint now)
     {
         auto slot = std::min_element(m_slotFree.begin(), m_slotFree.end());
@@ -66,15 +70,16 @@
         return *slot;
     }
 
+    /// @return whether the engine holds exactly the hop's layers, in the hop's generation
     bool holds(const Hop& hop) const { return hop.layers == m_report.layers && hop.generation == m_report.generation; }
 
 private:
     BackendReport m_report;
     Faults m_faults;
-    std::vector<TimePoint> m_slotFree;
+    std::vector<TimePoint> m_slotFree; ///< for each slot, the time from which it is free
     TimePoint m_pausedUntil;
     TimePoint m_leavingSince;
-    double m_slowFactor = 1;
+    double m_slowFactor = 1; ///< multiplies the duration of a step
     bool m_alive = true;
 };
 
