--- a/tests/fakes/FakeStore.cpp
+++ b/tests/fakes/FakeStore.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    constexpr Duration CallTimeout = std::chrono::milliseconds(1500);
+    constexpr Duration CallTimeout = std::chrono::milliseconds(1500); ///< after which a caller gets an error
 
 } // namespace
 
@@ -50,7 +50,7 @@
         return;
     }
     if (m_delayWrite > Duration(0)) {
-        // The request hangs in the net: the caller gives up, and it lands later.
+        // Simulates a write delayed in the network: the caller gets a timeout, and the write is still applied.
         m_clock.after(m_delayWrite, [this, append] { apply(append); });
         m_delayWrite = Duration(0);
         m_clock.after(CallTimeout, [=] { reply(event::ClaimsAppended { append.shard, WriteOutcome::Unknown, 0 }); });
