--- a/tests/fakes/LockStore.h
+++ b/tests/fakes/LockStore.h
@@ -5,14 +5,15 @@
 
 namespace crocusmount {
 
-/// A store that keeps the lock, and counts what is asked of it.
+/// A store that keeps only the planner's lock and counts the writes to it. Ranges and watches are unavailable; any
+/// other write succeeds.
 class LockStore final : public StoreClient, public LeaseClient {
 public:
     static constexpr const char* LockKey = "crocusmount/planner";
 
-    std::string holder;
-    std::int64_t revision = 0;
-    std::size_t writesToTheLock = 0;
+    std::string holder; ///< value of the latest successful write to the lock
+    std::int64_t revision = 0; ///< modification revision of the lock; 0: never written
+    std::size_t writesToTheLock = 0; ///< including the ones that conflicted
 
 private:
     Awaitable<absl::StatusOr<StoreRange>> onRange(std::string, std::string) override
--- a/tests/fakes/NoControl.h
+++ b/tests/fakes/NoControl.h
@@ -4,7 +4,7 @@
 
 namespace crocusmount {
 
-/// Engine control whose engines pass every health check and refuse every order.
+/// Engine control that reports every engine as alive and refuses every order with status 409.
 class NoControl final : public EngineControl {
 private:
     Awaitable<EngineReport> onCheck(std::string) override { co_return EngineReport { CheckAnswer::Alive, 1, {}, {} }; }
