--- a/tests/fakes/World.cpp
+++ b/tests/fakes/World.cpp
@@ -8,11 +8,13 @@
 
 namespace {
 
-    constexpr Duration LeavingGrace = std::chrono::seconds(3); ///< a leaving server may get new work this long
-    constexpr Duration ForceLimit = std::chrono::seconds(5); ///< from acceptance to in force everywhere
+    /// How long a leaving backend server may still get new work.
+    constexpr Duration LeavingGrace = std::chrono::seconds(3);
+    /// From a configuration's acceptance until every reachable entry instance must use it.
+    constexpr Duration ForceLimit = std::chrono::seconds(5);
     constexpr Duration ProbeTimeout = std::chrono::milliseconds(500);
     constexpr Duration StageTimeout = std::chrono::milliseconds(100);
-    constexpr std::uint64_t DatagramHeader = 28; ///< of IP and UDP
+    constexpr std::uint64_t DatagramHeader = 28; ///< bytes of the IPv4 and UDP headers
     const std::string badText = "BAD ";
 
 } // namespace
@@ -190,7 +192,7 @@
     toEntry(*attempt, std::move(body));
 }
 
-/// Gives up the attempt's places at its engines.
+/// Ends the attempt and releases its engines.
 void World::close(const std::shared_ptr<Attempt>& attempt)
 {
     attempt->over = true;
@@ -365,7 +367,7 @@
         m_clock.after(ProbeTimeout, [=] { reply(event::BackendUnreachable { probe.backend }); });
         return;
     }
-    // What is shown lags what is true.
+    // The report is stale by reportLag when it arrives.
     const BackendReport report = engine->report();
     m_clock.after(m_options.reportLag, [=] { reply(event::BackendReported { report, probe.asked }); });
 }
@@ -534,7 +536,7 @@
         if (attempt->entry == index)
             run(index, effect::CancelAttempt { attempt->start.attempt });
     }
-    ++entry.incarnation; // What is under way to it must not reach its successor.
+    ++entry.incarnation; // Events in flight to the dead instance must not reach its successor.
 }
 
 void World::restartEntry(std::size_t index)
@@ -583,7 +585,7 @@
     constexpr Duration checkInterval = std::chrono::seconds(1);
     while (m_clock.now() < end) {
         m_clock.advanceTo(std::min(end, m_clock.now() + checkInterval));
-        // A watch in the store's client checks the head from time to time.
+        // Simulates the watch of the store's client, which checks the head periodically.
         for (std::size_t i = 0; i < m_entries.size(); ++i) {
             if (m_entries[i]->alive && m_entries[i]->following)
                 readConfiguration(i);
@@ -593,7 +595,7 @@
     }
 }
 
-// ---- What must hold ------------------------------------------------------------------------------------------------
+// ---- Promises -----------------------------------------------------------------------------------------------------
 
 void World::violate(const std::string& what)
 {
--- a/tests/fakes/World.h
+++ b/tests/fakes/World.h
@@ -16,71 +16,78 @@
 
 /// What a caller saw of one request.
 struct CallerView {
-    std::size_t entry = 0;
+    std::size_t entry = 0; ///< index of the entry instance that got the request
     RequestSpec spec;
     std::string prompt;
     TimePoint sent;
     TimePoint firstToken;
     TimePoint lastToken;
-    Duration longestGap {};
+    Duration longestGap {}; ///< longest time between two consecutive tokens
     std::uint32_t tokens = 0;
     bool completed = false;
     bool failed = false;
-    bool cut = false; ///< its entry died, so no answer can come
-    bool left = false; ///< the caller went away and looks at nothing more
+    bool cut = false; ///< the entry instance died, so no answer can arrive
+    bool left = false; ///< the caller disconnected and ignores every later token and answer
     Reason reason = Reason::BackendError;
     RunState run = RunState::Completed;
     TimePoint ended;
 
+    /// @return whether the caller expects nothing more
     bool done() const { return completed || failed || cut || left; }
 };
 
-/// Several reducers, a fake store and fake engines on one virtual clock, with an oracle that watches what callers see.
-/// The same seed and the same calls give the same run on every machine.
+/// Simulates several entry instances, each with its own reducer, a fake store and fake engines on one virtual clock. An
+/// oracle checks every token and answer that callers get. A run depends only on the seed and the calls made.
 class World {
 public:
     struct Options {
         std::uint64_t seed = 1;
         std::uint32_t dataCentres = 3;
         std::uint32_t entries = 3;
-        ReducerOptions core; ///< self is filled in
+        ReducerOptions core; ///< options of every reducer; World sets `self` for each
         Duration linkLatency = std::chrono::microseconds(300);
-        Duration tick = std::chrono::milliseconds(10);
-        Duration reportLag = std::chrono::milliseconds(200);
-        double peerLoss = 0;
-        std::function<std::size_t(const PeerMessage&)> sizeOf; ///< bytes of a message on the wire; empty: not counted
-        bool checkForce = true; ///< watch that accepted configuration is in force in time
+        Duration tick = std::chrono::milliseconds(10); ///< interval between two event::Tick
+        Duration reportLag = std::chrono::milliseconds(200); ///< from an engine's report to its arrival
+        double peerLoss = 0; ///< share of peer messages that are lost, 0 to 1
+        std::function<std::size_t(const PeerMessage&)> sizeOf; ///< bytes of a message on the wire; unset: not counted
+        bool checkForce = true; ///< check that each accepted configuration takes effect in time
     };
 
     explicit World(Options);
     ~World();
 
-    // ---- Setting up.
+    // ---- Setup.
     std::size_t addEngine(const std::string& id, const std::string& model, LayerRange, std::uint32_t slots,
         std::int64_t stepMicros, const Labels& labels = {});
     void addObject(const std::string& key, const std::string& json);
     /// Writes the objects added so far and starts the entries.
     void start();
 
-    // ---- What callers do.
-    /// @return the number of the request
+    // ---- Actions of callers.
+    /// Sends a request to an entry instance.
+    /// @return the index of the request in requests()
     std::size_t send(std::size_t entry, RequestSpec);
+    /// The caller of a request disconnects.
     void leave(std::size_t request);
     const std::vector<std::unique_ptr<CallerView>>& requests() const { return m_requests; }
 
-    // ---- What operators do.
-    /// Two operators write over the same base; at most one may be accepted.
+    // ---- Actions of operators.
+    /// Two operators write an object with the same base revision; at most one write may be accepted.
     void raceOperators(const std::string& key, const std::string& first, const std::string& second);
+    /// @return whether the write was accepted
     bool writeObject(const std::string& key, const std::string& json);
 
-    // ---- What fails.
+    // ---- Faults.
     FakeStore& store() { return m_store; }
     FakeEngine& engine(std::size_t index) { return *m_engines[index]; }
     std::size_t engineCount() const { return m_engines.size(); }
     void killEntry(std::size_t);
+    /// Kills the entry instance if it is alive and starts its successor.
     void restartEntry(std::size_t);
+    /// Events that reach the paused entry instance are processed when the pause ends.
     void pauseEntry(std::size_t, Duration);
     void drainEntry(std::size_t);
+    /// Loses the messages between an entry instance and its peers, and its access to the store, for a span.
     void cutPeers(std::size_t entry, Duration);
     bool entryAlive(std::size_t entry) const { return m_entries[entry]->alive; }
     std::size_t entryCount() const { return m_entries.size(); }
@@ -91,53 +98,59 @@
     const VirtualClock& clock() const { return m_clock; }
     std::uint64_t random() { return m_random(); }
 
-    /// @return the first broken promise, or an empty text
+    /// @return a description of the first violated promise, or an empty text
     const std::string& violation() const { return m_violation; }
-    /// Checks what must hold when everything has come to rest.
+    /// Checks that every request has ended for its caller and in its reducer. Call it after the clock has passed the
+    /// last deadline.
     void checkSettled();
 
     std::uint64_t peerBytes() const { return m_peerBytes; }
     std::uint64_t peerMessages() const { return m_peerMessages; }
-    /// @return for every accepted revision and entry, the time until it was in force there
+    /// @return one duration for each accepted revision and entry instance: from acceptance until it was in force there
     const std::vector<Duration>& forceTimes() const { return m_forceTimes; }
     void forgetForceTimes() { m_forceTimes.clear(); }
-    /// @return entries that hold the store's watch
+    /// @return number of live entry instances that watch the store themselves
     std::size_t followers() const;
     std::uint64_t configurationBytes() const { return m_configurationBytes; }
     std::uint64_t tokensMade() const { return m_tokensMade; }
-    Counters counters() const; ///< summed over entries, the dead ones included
+    Counters counters() const; ///< summed over all entry instances; of dead ones only the counters in m_buried
 
 private:
+    /// One entry instance and its successors after restarts.
     struct Entry {
         std::unique_ptr<Reducer> reducer;
         ReducerOptions options;
         std::uint64_t incarnation = 0;
         bool alive = false;
         TimePoint pausedUntil;
-        TimePoint cutUntil;
-        TimePoint connectedSince;
-        bool following = false;
+        TimePoint cutUntil; ///< end of the latest cut from its peers and the store
+        TimePoint connectedSince; ///< time of the latest start, or end of the latest pause or cut
+        bool following = false; ///< it watches the store itself
         bool draining = false;
-        std::vector<EventBody> held; ///< what came while it was paused
-        std::map<RequestId, std::size_t> requests;
+        std::vector<EventBody> held; ///< events that arrived during the pause
+        std::map<RequestId, std::size_t> requests; ///< index in m_requests
         std::uint64_t nextRequest = 1;
-        Revision seen;
+        Revision seen; ///< revision of the configuration after the latest event
     };
+    /// One attempt that an entry instance has started at the engines of a chain.
     struct Attempt {
         std::size_t entry = 0;
         std::uint64_t incarnation = 0;
         effect::StartAttempt start;
-        std::vector<std::size_t> engines;
-        std::uint32_t next = 0;
-        std::string work; ///< what the ledger counts
+        std::vector<std::size_t> engines; ///< indexes of the engines, in order of the chain
+        std::uint32_t next = 0; ///< index of the next token
+        std::string work; ///< key in m_onceRuns; empty if the request may run more than once
         bool over = false;
     };
+    /// A configuration that the store has accepted.
     struct Accepted {
         Revision revision;
         TimePoint at;
     };
 
+    /// Feeds an event to the entry instance, or holds it during a pause. Dropped if the instance is dead.
     void post(std::size_t entry, EventBody);
+    /// Lets the reducer process an event and runs the effects.
     void feed(std::size_t entry, EventBody);
     void startEntry(std::size_t);
     void tickEntry(std::size_t entry, std::uint64_t incarnation);
@@ -154,11 +167,14 @@
     void run(std::size_t, const effect::FollowStore&);
     void run(std::size_t, const effect::DrainFinished&);
 
+    /// Reserves the engines of the chain and begins the first step, or refuses the attempt.
     void prepare(const std::shared_ptr<Attempt>&);
+    /// Runs one step at the hop's engine, then the next hop or the token.
     void step(const std::shared_ptr<Attempt>&, std::size_t hop);
     void emitToken(const std::shared_ptr<Attempt>&);
     void endAttempt(const std::shared_ptr<Attempt>&, EventBody);
     void close(const std::shared_ptr<Attempt>&);
+    /// Delivers an event after the link latency, unless the entry instance has been restarted by then.
     void toEntry(const Attempt&, EventBody);
     FakeEngine* find(const BackendId&, std::size_t* index = nullptr);
     CallerView* viewOf(std::size_t entry, RequestId);
@@ -179,11 +195,12 @@
     std::vector<std::unique_ptr<Entry>> m_entries;
     std::vector<std::unique_ptr<CallerView>> m_requests;
     std::map<std::tuple<std::size_t, std::uint64_t, AttemptId>, std::shared_ptr<Attempt>> m_attempts;
-    std::map<std::string, std::uint64_t> m_ledger; ///< work begun at engines, by prompt
-    std::map<std::string, std::uint64_t> m_onceRuns; ///< by workspace and key
+    std::map<std::string, std::uint64_t> m_ledger; ///< number of attempts begun at engines, by prompt
+    std::map<std::string, std::uint64_t>
+        m_onceRuns; ///< number of runs of each request that must run once, by Attempt::work
     std::vector<ConfigurationEntry> m_initial;
     std::vector<Accepted> m_accepted;
-    Counters m_buried; ///< of entries that died
+    Counters m_buried; ///< of entry instances that died: claims, attempts and tokens only
     std::uint64_t m_peerBytes = 0;
     std::uint64_t m_peerMessages = 0;
     std::uint64_t m_tokensMade = 0;
