--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -1,5 +1,6 @@
-// Stateful fuzzing: random commands of callers, operators and faults against several reducers, with the promises as
-// invariants. RapidCheck makes the commands, shrinks what fails and prints it with its seed.
+// Stateful fuzz test. It runs random sequences of actions of callers and operators, and of faults, against several
+// reducers, and checks the promises as invariants. RapidCheck generates each sequence, shrinks a failing one and prints
+// it with its seed.
 
 #include "programs/CommandLine.h"
 #include "tests/fakes/World.h"
@@ -15,6 +16,7 @@
 std::uint64_t stepsRun = 0;
 Guards guardsInForce;
 
+/// Kinds of commands. Step::run() relies on their order: requests, engines, entry instances and store, clock.
 enum class Act {
     Send,
     SendOnce,
@@ -48,11 +50,11 @@
     "StoreDelaysWrite", "StoreDelaysRead", "KillEntry", "RestartEntry", "PauseEntry", "DrainEntry", "CutEntry",
     "Configure", "RaceOperators", "Advance", "AdvanceLong" };
 
-/// The system under test, with what the commands need to remember.
+/// The system under test, and the requests with keys that later commands may repeat.
 struct Fuzzed {
     std::unique_ptr<World> world;
     std::uint64_t nextKey = 1;
-    std::vector<RequestSpec> keyed;
+    std::vector<RequestSpec> keyed; ///< requests sent with an idempotency key
 
     Fuzzed()
     {
@@ -77,11 +79,12 @@
     }
 };
 
-/// What the generator knows; the promises need no model of the state beyond the world's own oracle.
+/// The model state that RapidCheck requires. World's oracle checks the promises, so the model only counts commands.
 struct Model {
     std::uint32_t sent = 0;
 };
 
+/// One command. `a` and `b` are random arguments, whose meaning depends on `act`.
 struct Step : rc::state::Command<Model, Fuzzed> {
     Act act = static_cast<Act>(*rc::gen::inRange(0, static_cast<int>(Act::Count)));
     std::uint32_t a = *rc::gen::inRange(0U, 1000U);
@@ -123,7 +126,7 @@
     }
     ++sut.nextKey;
     world.send(entry, spec);
-    // The same key may reach two instances at the same moment.
+    // Sends the same key to two entry instances at the same time.
     if (act == Act::SendOnce && b % 3 == 0)
         world.send((entry + 1) % world.entryCount(), spec);
 }
@@ -236,6 +239,7 @@
         RC_FAIL(sut.world->violation());
 }
 
+/// @return whether a guard of that name exists
 bool switchOff(const std::string& name)
 {
     const std::map<std::string, bool*> guards { { "claimBeforeDispatch", &guardsInForce.claimBeforeDispatch },
