--- a/tests/soak/httpio.py
+++ b/tests/soak/httpio.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages over asyncio streams, as little of it as the soak needs."""
+"""HTTP/1.1 messages over asyncio streams, limited to the features that the soak uses."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -20,7 +20,7 @@
 
 
 async def read_head(reader):
-    """Returns the start line and headers, or None where the connection ended first."""
+    """Returns a message with the start line and headers, or None if the connection ends before the headers do."""
     try:
         raw = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError, asyncio.LimitOverrunError):
@@ -35,7 +35,7 @@
 
 
 async def read_body(reader, message):
-    """Reads the body; `complete` tells whether all of it came."""
+    """Reads the body into the message and returns it; `complete` is False if the body was cut off or malformed."""
     parts = []
     try:
         if message.headers.get("transfer-encoding", "").lower() == "chunked":
@@ -54,14 +54,14 @@
 
 
 def response(status, body=b"", headers=None, reason="-"):
-    """Returns the bytes of a whole response."""
+    """Returns the bytes of a response with its body."""
     lines = [f"HTTP/1.1 {status} {reason}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
 def close(writer):
-    """Closes without waiting; the other side may be gone."""
+    """Closes the connection without waiting; the peer may have closed it already."""
     try:
         writer.close()
     except (ConnectionError, RuntimeError):
@@ -69,7 +69,9 @@
 
 
 async def serve(address, handler):
-    """Serves requests one after the other on each connection; the handler writes and says whether to go on."""
+    """Serves the requests of each connection in order. The handler writes the response and returns whether to keep the
+    connection open.
+    """
 
     async def connection(reader, writer):
         try:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Fault soak: real entry instances as processes, stand-ins for the platform, faults from a seeded schedule.
+"""Fault soak: runs entry instances as processes against stand-ins for the platform, with a seeded schedule of faults.
 
 Usage: soak.py [--seeds FIRST-LAST] [--seconds N] [--program FILE] [--mutate NAME]
 
-One seed gives one schedule of faults. While it runs, the promises are checked from what callers and backend servers
-see. A broken promise is printed with its seed, and the instances' logs are kept.
+The seed determines the schedule of faults. The promises are checked from what callers and backend servers observe. A
+broken promise is printed with its seed and the folder of the instances' logs.
 """
 
 import argparse
@@ -25,8 +25,9 @@
 ZONES = ["za", "zb"]
 INSTANCES = 4
 GRACE_S = 8
-STABLE_S = 3  # the platform's: bounds in time hold so long after the last fault on the store or an instance
-# Promises with a bound in time: a busy machine may break them, so CI leaves them out.
+# Bounds in time hold this long after the last fault on the store or an instance; set by the platform.
+STABLE_S = 3
+# Promises with a bound in time. They may fail on a busy host, so CI leaves them out.
 TIMED = {"deadline", "config", "recovery", "leaving", "grace", "quarantine"}
 KEY = "soak-key"
 
@@ -36,7 +37,7 @@
 
 
 class Instance:
-    """One entry instance, a process of its own."""
+    """One entry instance, run as a separate process."""
 
     def __init__(self, number, program, folder, net):
         self.number, self.program, self.folder, self.net = number, program, folder, net
@@ -62,11 +63,11 @@
         self.term_at = None
 
     def touch(self):
-        """A fault touched it: bounds in time hold only later."""
+        """Records a fault on the instance; bounds in time do not hold right after one."""
         self.touched.append(time.monotonic())
 
     def calm(self, seconds, when=None):
-        """Whether no fault touched it in so many seconds before a moment."""
+        """Whether the instance had no fault in the last seconds before `when` (now if omitted)."""
         when = when or time.monotonic()
         return not any(when - seconds < each <= when for each in self.touched)
 
@@ -94,7 +95,7 @@
     # ---- The platform ---------------------------------------------------------------------------------------------
 
     def configure(self):
-        """Writes a configuration; what it changes must be in force two seconds later."""
+        """Writes a new version of the configuration, which must be in force two seconds later."""
         self.version += self.random.randint(1, 5)
         kinds = {"look": ("idempotent", "plain"), "book": ("non_idempotent", "plain"),
                  "draft": ("streaming", "model"), "once": ("streaming", "model"), "extra": ("idempotent", "plain")}
@@ -120,12 +121,12 @@
             await Server(self.fleet, f"p{number}", "plain", ZONES[number % 2], f"{self.net}.94.{number + 1}:8080",
                          f"{self.net}.94.{number + 101}:8080").start()
         await asyncio.gather(*(each.start() for each in self.instances))
-        await asyncio.sleep(5)  # layers are placed
+        await asyncio.sleep(5)  # time to place the layers
 
     # ---- Callers --------------------------------------------------------------------------------------------------
 
     async def addresses(self):
-        """Asks an instance where to connect, as callers do."""
+        """Returns the addresses that the discovery call of an instance gives to callers; empty if none answers."""
         for instance in self.random.sample(self.instances, len(self.instances)):
             try:
                 host, port = instance.directory.split(":")
@@ -142,7 +143,7 @@
         return []
 
     async def caller(self):
-        """One caller with a kept connection, which it uses until it is closed."""
+        """Runs one caller, which reuses its connection until the connection is closed."""
         stream, known, until = None, [], 0
         while not self.stopping:
             if stream is None:
@@ -167,7 +168,7 @@
             close(stream[1])
 
     async def call(self, instance, reader, writer):
-        """Sends one request and judges its answer; returns whether the connection may be used again."""
+        """Sends one request and checks its answer; returns whether the connection can be reused."""
         self.attempts += 1
         attempt = f"{self.attempts:016x}"
         route = self.random.choice(["look", "book", "draft", "draft", "once", "extra", "gone"])
@@ -205,7 +206,10 @@
         self.judge_configuration(attempt, route, sent, instance, status)
 
     def planned_stop_only(self, instance, sent):
-        """Whether the one thing that touched the instance since a while before the call is a SIGTERM."""
+        """Whether a SIGTERM is the only fault that can have affected the call.
+
+        The call was sent more than 4 s after the last restart or pause, and at most 0.1 s after the signal.
+        """
         term = instance.term_at
         return term is not None and sent < term + 0.1 and sent > instance.started_calm + 4
 
@@ -227,8 +231,8 @@
     # ---- Faults ---------------------------------------------------------------------------------------------------
 
     async def faults(self):
-        """Series of faults that overlap."""
-        # Callers draw from another generator, and each fault from one of its own: neither can shift what comes next.
+        """Injects faults, which may overlap, at random intervals."""
+        # Callers and each fault have their own generators, so that their draws do not change the schedule of faults.
         draws = random.Random(self.seed)
         end = time.monotonic() + self.seconds
         running = []
@@ -248,7 +252,7 @@
     async def kill(self, draws):
         instance = draws.choice(self.instances)
         if instance.process.returncode is None and instance.term_at is None:
-            instance.term_at = 0  # a plain end: not planned
+            instance.term_at = 0  # not a planned stop
             instance.send(signal.SIGKILL)
             await self.restart(instance)
 
@@ -282,7 +286,7 @@
             self.backend_calm = time.monotonic()
 
     async def reborn(self, draws):
-        """A server starts again under its id: while it is listed, after its entry lapsed, or behind a cut."""
+        """Restarts a server under its id: while it is listed, after its entry expired, or while its link is silent."""
         server = draws.choice(list(self.fleet.servers.values()))
         if not server.alive or server.state != "ready":
             return
@@ -299,7 +303,7 @@
         self.backend_calm = time.monotonic()
 
     async def foreign_entry(self, draws):
-        """Another client of the store writes what is no server's entry, also over one that is."""
+        """Simulates another client of the store that writes an invalid server entry, also over a valid one."""
         server = draws.choice(list(self.fleet.servers.values()))
         bad = draws.choice(["", "[]", "\x00", '{"backend":7}', '{"backend":"model","address":"%s"}' % server.address,
                             '{"backend":"none","address":"%s","zone":"z","version":"v1","slots":1,"state":"ready",'
@@ -345,7 +349,7 @@
         self.backend_calm = time.monotonic()
 
     async def crashing(self, draws):
-        """A request that crashes each server that begins it comes again and again, at any instance."""
+        """Sends a request that crashes each server that begins it, repeatedly and to random instances."""
         body = f"crash {draws.random()}".encode()
         path = draws.choice(["draft", "draft", "draft", "look", "book"])
         self.backend_calm = time.monotonic() + 60
@@ -370,7 +374,7 @@
             pass
 
     def judge_crashing(self):
-        """Not more than three retries reach a server later than the stable time after it crashed the third."""
+        """Checks that a request reaches servers at most three times once STABLE_S has passed since its third crash."""
         for body, times in self.fleet.crashed.items():
             if len(times) < 3:
                 continue
@@ -420,7 +424,7 @@
         return sum(status == 200 for _, status in self.answers.values())
 
     def judge_runs(self):
-        """What only the end shows: how often each attempt ran."""
+        """Checks after the run how often each attempt ran, and the violations that backend servers saw."""
         for attempt, (route, status) in self.answers.items():
             runs = self.fleet.runs.get(attempt, 0) + (self.mutate == "runs")
             if route in ("book", "once") and runs > 1:
@@ -432,7 +436,10 @@
                 self.report(promise, text)
 
     def knew_of_leaving(self, attempt, when):
-        """A server's leaving is the store's word: it binds an instance that no fault kept from hearing it."""
+        """Whether the instance must know that the server is leaving.
+
+        It learns this from the store, so neither may have had a fault in the STABLE_S before `when`.
+        """
         store_calm = not any(start < when and end > when - STABLE_S for start, end in self.store_faults)
         instance = self.instance_of.get(attempt)
         return store_calm and instance is not None and instance.calm(STABLE_S, when)
@@ -466,7 +473,7 @@
         seeds = [int(each) for each in arguments.seeds.split(",")]
     failed = 0
     for seed in seeds:
-        # A process of its own for each seed would hide what one leaves behind; the loop is new, the program is not.
+        # All seeds run in one process, each on a new event loop, so that state left over by one seed shows in the next.
         failed += asyncio.run(run_seed(seed, arguments)) > 0
     print(f"{len(seeds) - failed} passed, {failed} failed")
     return 1 if failed else 0
--- a/tests/soak/standins.py
+++ b/tests/soak/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what the platform gives: the store, engines that hold layers, plain servers, and links with faults."""
+"""Stand-ins for the platform: the store, engines that hold layers, plain servers, and links with injected faults."""
 
 import asyncio
 import base64
@@ -9,20 +9,24 @@
 from httpio import close, response, serve
 
 LAYERS, LAYER_MB, CARD_MB = 8, 100, 520
-KV_TOKEN_BYTES = 8000  # over all layers
-LONGEST_TOKENS = 160  # prompt and answer of the longest request
+KV_TOKEN_BYTES = 8000  # bytes of the cache of one token, over all layers
+LONGEST_TOKENS = 160  # prompt and answer of the longest request, in tokens
 HEALTH_PATH = "/health"
-CRASHES = b"crash"  # a server that begins to run a request whose body begins so ends
+CRASHES = b"crash"  # a server crashes when it begins to run a request whose body has this prefix
 
 
 def fits(layers):
-    """Whether an engine can hold so many layers and still run one request."""
+    """Whether an engine can hold this number of layers and still run the longest request."""
     free_mb = CARD_MB - layers * LAYER_MB
     return free_mb * 1e6 >= LONGEST_TOKENS * layers * KV_TOKEN_BYTES / LAYERS
 
 
 class Link:
-    """A loopback proxy before one server. Its mode: ok, delay, reset, silent, or mute (only answers are lost)."""
+    """A loopback proxy in front of one server.
+
+    Modes: ok, delay (0.1 s for each read), reset (connections are aborted), silent (data is held in both directions),
+    mute (only answers are held).
+    """
 
     def __init__(self, listen, target):
         self.listen, self.target, self.mode, self.writers, self.server = listen, target, "ok", set(), None
@@ -68,7 +72,10 @@
 
 
 class Store:
-    """The platform's store. Its mode: ok, busy (503), silent, or lossy (writes are done, their answers lost)."""
+    """The platform's store.
+
+    Modes: ok, busy (answers 503), silent (requests wait), lossy (writes are applied, but every second answer is lost).
+    """
 
     def __init__(self):
         self.items, self.leases, self.history, self.revision = {}, {}, [], 1
@@ -179,12 +186,13 @@
 
 
 class Fleet:
-    """All backend servers, and the record of what ran on them."""
+    """All backend servers, the number of runs of each attempt, and the promises that the servers saw violated."""
 
     def __init__(self, store):
         self.store, self.servers, self.runs, self.wrong = store, {}, {}, []
-        self.reached, self.crashed = {}, {}  # by body that crashes servers: (time, attempt) of each arrival; times
-        self.leaving_bound_s = 2.0  # from the store's answer until no new request may come
+        # By body of a crashing request: (time, attempt) of each arrival, and the time of each crash.
+        self.reached, self.crashed = {}, {}
+        self.leaving_bound_s = 2.0  # from the write of the drain to the store until no new request may arrive
 
     def by_address(self, address):
         return next((each for each in self.servers.values() if each.address == address), None)
@@ -194,7 +202,7 @@
 
 
 class Server:
-    """One backend server; with `kind`, an engine that holds layers as it is ordered to."""
+    """One backend server. With `kind`, it is an engine and loads the layers that it is ordered to hold."""
 
     def __init__(self, fleet, name, service, zone, address, behind, kind=""):
         self.fleet, self.name, self.service, self.zone, self.kind = fleet, name, service, zone, kind
@@ -208,11 +216,11 @@
         return f"i-{self.name}-{self.incarnation}"
 
     async def start(self, keeps_id=False):
-        """Starts empty, under a new id or the one before; its start time tells the two apart."""
+        """Starts without layers, under a new id or the previous one. The start time (`born`) tells the starts apart."""
         if self.link.server is None:
             await self.link.start()
         if keeps_id and self.lapse:
-            self.lapse.cancel()  # Its heartbeats go on before the entry lapses.
+            self.lapse.cancel()  # Its heartbeats resume before the entry expires.
         self.incarnation += 0 if keeps_id else 1
         self.born_ms = max(self.born_ms + 1, int(time.time() * 1000))
         self.state, self.layers, self.alive, self.left_at, self.orders = "ready", (0, 0), True, None, 0
@@ -235,7 +243,7 @@
         self.register()
 
     async def crash(self, silent_for):
-        """Ends without a word; the entry lapses later."""
+        """Aborts every connection. The entry in the store expires after `silent_for` seconds."""
         self.alive = False
         self.listener.close()
         for writer in list(self.connections):
@@ -280,7 +288,7 @@
         return True
 
     async def _crash_under(self, body):
-        """Begins to run a request that crashes it, and is back some time later."""
+        """Crashes the server while it runs the request, and restarts it after 1.5 s."""
         await asyncio.sleep(0.05)
         if self.alive:
             self.fleet.crashed.setdefault(body, []).append(time.monotonic())
@@ -335,7 +343,7 @@
         return True
 
     def _check_chain(self, text):
-        """Whether the stages tile the model, each holding its part."""
+        """Checks that the stages cover all layers in order and hold them; returns status and the culprit's address."""
         at = 0
         for index, part in enumerate(text.split(",")):
             address, _, span = part.partition("=")
