--- a/tests/fakes/World.h
+++ b/tests/fakes/World.h
@@ -37,7 +37,7 @@
 };
 
 /// Simulates several entry instances, each with its own reducer, a fake store and fake engines on one virtual clock. An
-/// oracle checks every token and answer that callers get. A run depends only on the seed and the calls made.
+/// oracle checks every token and answer that callers get. The same seed and calls give the same run on every host.
 class World {
 public:
     struct Options {
@@ -45,6 +45,7 @@
         std::uint32_t dataCentres = 3;
         std::uint32_t entries = 3;
         ReducerOptions core; ///< options of every reducer; World sets `self` for each
+        /// One-way latency to engines and to instances of other data centres; half of it within a data centre.
         Duration linkLatency = std::chrono::microseconds(300);
         Duration tick = std::chrono::milliseconds(10); ///< interval between two event::Tick
         Duration reportLag = std::chrono::milliseconds(200); ///< from an engine's report to its arrival
@@ -57,10 +58,14 @@
     ~World();
 
     // ---- Setup.
+    /// Adds an engine and its object in the configuration.
+    /// @param stepMicros duration of one step, in microseconds
+    /// @return the engine's index for engine()
     std::size_t addEngine(const std::string& id, const std::string& model, LayerRange, std::uint32_t slots,
         std::int64_t stepMicros, const Labels& labels = {});
+    /// Adds an object to the configuration that start() writes.
     void addObject(const std::string& key, const std::string& json);
-    /// Writes the objects added so far and starts the entries.
+    /// Writes the objects added so far and starts the entry instances.
     void start();
 
     // ---- Actions of callers.
@@ -87,7 +92,8 @@
     /// Events that reach the paused entry instance are processed when the pause ends.
     void pauseEntry(std::size_t, Duration);
     void drainEntry(std::size_t);
-    /// Loses the messages between an entry instance and its peers, and its access to the store, for a span.
+    /// For a span, loses the messages between an entry instance and its peers, and its reads of the configuration from
+    /// the store. Claims are still read and written.
     void cutPeers(std::size_t entry, Duration);
     bool entryAlive(std::size_t entry) const { return m_entries[entry]->alive; }
     std::size_t entryCount() const { return m_entries.size(); }
@@ -106,11 +112,13 @@
 
     std::uint64_t peerBytes() const { return m_peerBytes; }
     std::uint64_t peerMessages() const { return m_peerMessages; }
-    /// @return one duration for each accepted revision and entry instance: from acceptance until it was in force there
+    /// @return one duration for each accepted revision and entry instance: from acceptance until it was in force there.
+    /// A restarted instance adds them once more.
     const std::vector<Duration>& forceTimes() const { return m_forceTimes; }
     void forgetForceTimes() { m_forceTimes.clear(); }
     /// @return number of live entry instances that watch the store themselves
     std::size_t followers() const;
+    /// @return bytes of keys and values that entry instances sent to peers which fetched the configuration
     std::uint64_t configurationBytes() const { return m_configurationBytes; }
     std::uint64_t tokensMade() const { return m_tokensMade; }
     Counters counters() const; ///< summed over all entry instances; of dead ones only the counters in m_buried
@@ -123,7 +131,7 @@
         std::uint64_t incarnation = 0;
         bool alive = false;
         TimePoint pausedUntil;
-        TimePoint cutUntil; ///< end of the latest cut from its peers and the store
+        TimePoint cutUntil; ///< end of the latest cutPeers()
         TimePoint connectedSince; ///< time of the latest start, or end of the latest pause or cut
         bool following = false; ///< it watches the store itself
         bool draining = false;
