--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -43,6 +43,8 @@
         self.number, self.program, self.folder, self.net = number, program, folder, net
         self.ip, self.zone = f"{net}.91.{number + 1}", ZONES[number % len(ZONES)]
         self.front, self.directory = f"{self.ip}:8227", f"{self.ip}:8224"
+        # touched: times of faults. term_at: time of the SIGTERM, 0 after a SIGKILL, None while it runs normally.
+        # started_calm: end of the latest restart or pause. All times are monotonic.
         self.process, self.touched, self.term_at, self.started_calm = None, [0.0], None, 0
         self.log = open(f"{folder}/{number}.log", "ab")
 
@@ -89,6 +91,8 @@
         self.store_faults, self.instance_of = [], {}
         if mutate == "leaving":
             self.fleet.leaving_bound_s = -5.0
+        # store_calm, backend_calm: monotonic time of the latest fault on the store or a server. It is set into the future
+        # while some kinds of faults last.
         self.version, self.routes, self.store_calm, self.backend_calm = 1, {"look", "book", "draft", "once"}, 0, 0
         self.changed_at, self.attempts, self.stopping = {}, 0, False
 
