--- a/tests/Tests.h
+++ b/tests/Tests.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// CppUTest replaces operator new with macros, so the libraries come first.
+// CppUTest defines a macro for operator new, so its header must follow those of the libraries.
 #include "crocusmount/Reducer.h"
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace crocusmount {
 
-/// Compares texts with a message that shows both.
+/// Fails the current test, with a message that shows both texts, if they differ.
 inline void checkEqual(const std::string& expected, const std::string& actual, const char* file, std::size_t line)
 {
     if (expected != actual)
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -3,7 +3,8 @@
 
 int main(int argc, char** argv)
 {
-    // The libraries keep caches for the life of the process; leaks are looked for with the address sanitizer instead.
+    // Turns off CppUTest's leak detection, since the libraries keep caches until the process ends. The address
+    // sanitizer checks for leaks instead.
     MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
     return CommandLineTestRunner::RunAllTests(argc, argv);
 }
