--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -91,8 +91,8 @@
         self.store_faults, self.instance_of = [], {}
         if mutate == "leaving":
             self.fleet.leaving_bound_s = -5.0
-        # store_calm, backend_calm: monotonic time of the latest fault on the store or a server. It is set into the future
-        # while some kinds of faults last.
+        # store_calm, backend_calm: monotonic time of the latest fault on the store or a server. Some kinds of faults set
+        # it into the future while they last.
         self.version, self.routes, self.store_calm, self.backend_calm = 1, {"look", "book", "draft", "once"}, 0, 0
         self.changed_at, self.attempts, self.stopping = {}, 0, False
 
