--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -416,7 +416,7 @@
     coreOptions.claimShards
         = static_cast<std::uint32_t>(arguments.number("shards", coreOptions.claimShards).value_or(1));
     if (arguments.has("linger-ms"))
-        coreOptions.claimLinger = std::chrono::milliseconds(arguments.number("linger-ms", 0).value_or(0));
+        coreOptions.minClaimCallInterval = std::chrono::milliseconds(arguments.number("linger-ms", 0).value_or(0));
     const auto isSelected = [&](const char* part) { return arguments.get("only", part) == part; };
     Figures figures;
     const double throughputBound = placementBound();
--- a/include/crocusmount/Chain.h
+++ b/include/crocusmount/Chain.h
@@ -43,6 +43,6 @@
 };
 
 /// @return the part of a trace that describes one stage: "backend:begin-end@generation"
-std::string traceEntry(const BackendId&, const LayerRange&, Generation);
+std::string formatTraceEntry(const BackendId&, const LayerRange&, Generation);
 
 } // namespace crocusmount
--- a/include/crocusmount/ChainPicker.h
+++ b/include/crocusmount/ChainPicker.h
@@ -30,7 +30,7 @@
     std::optional<Chain> pick(const RouteQuery&);
 
     /// @return whether some sequence of the stages of a query covers the model
-    static bool reachesEnd(const RouteQuery&);
+    static bool coversModel(const RouteQuery&);
 
     /// Creates a picker by name.
     /// @param name  "flow", "random", "round_robin", "least_reported" or "power_of_two"
--- a/include/crocusmount/ReducerOptions.h
+++ b/include/crocusmount/ReducerOptions.h
@@ -31,7 +31,8 @@
     std::string picker = "flow"; ///< name for ChainPicker::make()
     std::uint32_t claimShards = 1; ///< number of shards of the claim log; at least 1
     Duration claimTimeout = std::chrono::seconds(2); ///< longest wait for a claim before the request fails as not run
-    Duration claimLinger = std::chrono::milliseconds(50); ///< shortest interval between store calls for one shard
+    Duration minClaimCallInterval
+        = std::chrono::milliseconds(50); ///< shortest interval between store calls for one shard
     Duration claimRetention = std::chrono::hours(24); ///< how long a claimed idempotency key is kept
     std::uint32_t queueLimit = 4096; ///< waiting requests per pipeline
     double streamHeadroom = 1.8; ///< open streams per stage, as a multiple of the number that ideally fills its slots
@@ -57,7 +58,7 @@
     std::uint32_t followersPerDataCentre = 2; ///< instances that watch the store's configuration
     Duration isolationLimit = std::chrono::seconds(30); ///< time without store and peers before new work is refused
     Duration entryLifetime = std::chrono::seconds(5); ///< how long callers may cache the list of entry instances
-    Duration answerMemory = std::chrono::seconds(60); ///< how long a complete answer is kept for its idempotency key
+    Duration answerRetention = std::chrono::seconds(60); ///< how long a complete answer is kept for its idempotency key
     std::uint32_t answerMemoryLimit = 2048; ///< complete answers kept
     Guards guards;
 };
--- a/programs/crocusmount.cpp
+++ b/programs/crocusmount.cpp
@@ -1,7 +1,7 @@
 // Command-line client for operators and callers.
 
 #include "programs/CommandLine.h"
-#include "shell/CallStory.h"
+#include "shell/CallTimeline.h"
 #include "shell/HttpClient.h"
 #include "shell/Json.h"
 #include "shell/SseParser.h"
@@ -432,7 +432,7 @@
     return ExitOk;
 }
 
-void readLogLines(std::istream& input, CallStory& story)
+void readLogLines(std::istream& input, CallTimeline& story)
 {
     for (std::string line; std::getline(input, line);)
         story.take(line);
@@ -441,7 +441,7 @@
 /// Prints the history of one call from log lines.
 int why(const Arguments& arguments, bool asJson)
 {
-    CallStory story(arguments.words.at(1));
+    CallTimeline story(arguments.words.at(1));
     for (std::size_t i = 2; i < arguments.words.size(); ++i) {
         std::ifstream file(arguments.words[i]);
         if (!file) {
--- a/src/config/ConfigurationJson.cpp
+++ b/src/config/ConfigurationJson.cpp
@@ -136,7 +136,7 @@
 
 std::string toJson(const BackendServer& server) { return json::serialize(json::value_from(server)); }
 
-absl::StatusOr<ConfigurationEntry> checkedEntry(const std::string& key, const std::string& text)
+absl::StatusOr<ConfigurationEntry> validatedEntry(const std::string& key, const std::string& text)
 {
     ConfigurationEntry entry { key, text, Revision() };
     Configuration parsed;
--- a/src/config/ConfigurationJson.h
+++ b/src/config/ConfigurationJson.h
@@ -24,6 +24,6 @@
 /// @param json  the object as JSON; members that are missing get their default values
 /// @return an entry whose value is the object with all its members and whose revision is 0; or InvalidArgument with the
 ///         key of the object and its first invalid member
-absl::StatusOr<ConfigurationEntry> checkedEntry(const std::string& key, const std::string& json);
+absl::StatusOr<ConfigurationEntry> validatedEntry(const std::string& key, const std::string& json);
 
 } // namespace crocusmount
--- a/src/core/Chain.cpp
+++ b/src/core/Chain.cpp
@@ -11,7 +11,8 @@
     {
         std::string trace;
         for (const Hop& hop : hops)
-            absl::StrAppend(&trace, trace.empty() ? "" : ",", traceEntry(hop.backend, hop.layers, hop.generation));
+            absl::StrAppend(
+                &trace, trace.empty() ? "" : ",", formatTraceEntry(hop.backend, hop.layers, hop.generation));
         return trace;
     }
 
@@ -39,7 +40,7 @@
 
 } // namespace
 
-std::string traceEntry(const BackendId& backend, const LayerRange& layers, Generation generation)
+std::string formatTraceEntry(const BackendId& backend, const LayerRange& layers, Generation generation)
 {
     return absl::StrCat(backend.value(), ":", layers.begin, "-", layers.end, "@", generation.value());
 }
--- a/src/edge/PeerLink.cpp
+++ b/src/edge/PeerLink.cpp
@@ -230,7 +230,7 @@
         sendRepeatedly(encode(datagram));
 }
 
-void PeerLink::onShareSoundRequest(const relay::effect::ShareHarmlessRequest& sound)
+void PeerLink::onShareHarmlessRequest(const relay::effect::ShareHarmlessRequest& sound)
 {
     PeerDatagram datagram;
     datagram.soundRequests.push_back(sound.request);
--- a/src/edge/PeerLink.h
+++ b/src/edge/PeerLink.h
@@ -59,7 +59,7 @@
     void forward(PeerDatagram, const std::string& after, const std::string& until);
     void onShareFinding(const relay::effect::ReportEngineState&) override;
     void onShareCrashes(const relay::effect::ShareCrashes&) override;
-    void onShareSoundRequest(const relay::effect::ShareHarmlessRequest&) override;
+    void onShareHarmlessRequest(const relay::effect::ShareHarmlessRequest&) override;
     void sendRepeatedly(std::string bytes);
     void sendRepeats();
     void reportStoreCopy();
--- a/src/edge/PeerSink.h
+++ b/src/edge/PeerSink.h
@@ -11,12 +11,12 @@
 
     void shareFinding(const relay::effect::ReportEngineState& finding) { onShareFinding(finding); }
     void shareCrashes(const relay::effect::ShareCrashes& crashes) { onShareCrashes(crashes); }
-    void shareSoundRequest(const relay::effect::ShareHarmlessRequest& sound) { onShareSoundRequest(sound); }
+    void shareHarmlessRequest(const relay::effect::ShareHarmlessRequest& sound) { onShareHarmlessRequest(sound); }
 
 private:
     virtual void onShareFinding(const relay::effect::ReportEngineState&) = 0;
     virtual void onShareCrashes(const relay::effect::ShareCrashes&) = 0;
-    virtual void onShareSoundRequest(const relay::effect::ShareHarmlessRequest&) = 0;
+    virtual void onShareHarmlessRequest(const relay::effect::ShareHarmlessRequest&) = 0;
 };
 
 } // namespace crocusmount
--- a/src/edge/RelayNode.cpp
+++ b/src/edge/RelayNode.cpp
@@ -309,7 +309,7 @@
 void RelayNode::on(const effect::ShareHarmlessRequest& sound)
 {
     if (m_peers)
-        m_peers->shareSoundRequest(sound);
+        m_peers->shareHarmlessRequest(sound);
 }
 
 void RelayNode::on(const effect::LogCrash& note)
--- a/src/requests/ClaimLog.cpp
+++ b/src/requests/ClaimLog.cpp
@@ -216,7 +216,7 @@
         if (shard.state == ShardState::Idle && shard.isCurrent)
             resolvePending(shard, decisions);
         if (shard.state == ShardState::Idle && !shard.pending.empty()
-            && now - shard.lastStoreCallAt >= m_options.claimLinger)
+            && now - shard.lastStoreCallAt >= m_options.minClaimCallInterval)
             startStoreCall(shard, now, effects);
     }
 }
--- a/src/requests/RequestTable.cpp
+++ b/src/requests/RequestTable.cpp
@@ -59,7 +59,7 @@
     , m_counters(counters)
     , m_picker(std::move(picker))
     , m_claims(options, counters)
-    , m_answerCache(options.answerMemory, options.answerMemoryLimit)
+    , m_answerCache(options.answerRetention, options.answerMemoryLimit)
     , m_retryBudget(options.retryRatio, options.retryBurst)
 {
 }
@@ -295,7 +295,7 @@
         auto chain = m_picker->pick(RouteQuery { pipeline.layers, stages, ++entropy, m_options.pickJitter });
         if (!chain) {
             const auto all = m_backends.stagesFor(pipeline, event.now, request.avoidedBackends, UnlimitedHeadroom);
-            request.hasNoRoute = !ChainPicker::reachesEnd(RouteQuery { pipeline.layers, all });
+            request.hasNoRoute = !ChainPicker::coversModel(RouteQuery { pipeline.layers, all });
             enqueue(request, true);
             queue.isBlocked = true;
             return;
--- a/src/routing/Pickers.cpp
+++ b/src/routing/Pickers.cpp
@@ -58,7 +58,7 @@
 
 } // namespace
 
-bool ChainPicker::reachesEnd(const RouteQuery& query)
+bool ChainPicker::coversModel(const RouteQuery& query)
 {
     return cheapestPaths(query, [](const Stage&) { return 1.0; }).cost[0] < NoPathCost;
 }
--- a/src/shell/CallStory.cpp
+++ b/src/shell/CallTimeline.cpp
@@ -1,4 +1,4 @@
-#include "shell/CallStory.h"
+#include "shell/CallTimeline.h"
 
 #include "shell/Json.h"
 
@@ -46,12 +46,12 @@
 
 } // namespace
 
-CallStory::CallStory(std::string call)
+CallTimeline::CallTimeline(std::string call)
     : m_call(std::move(call))
 {
 }
 
-void CallStory::take(std::string_view rawLine)
+void CallTimeline::take(std::string_view rawLine)
 {
     const std::size_t begin = rawLine.find('{');
     if (begin == std::string_view::npos) {
@@ -71,7 +71,7 @@
         m_engineLines.push_back(std::move(line));
 }
 
-std::set<std::string> CallStory::engines() const
+std::set<std::string> CallTimeline::engines() const
 {
     std::set<std::string> engines;
     for (const json::object& line : m_callLines) {
@@ -84,7 +84,7 @@
     return engines;
 }
 
-std::vector<json::object> CallStory::lines() const
+std::vector<json::object> CallTimeline::lines() const
 {
     std::vector<json::object> all = m_callLines;
     sortByTime(all);
@@ -114,7 +114,7 @@
     return all;
 }
 
-std::string CallStory::text() const
+std::string CallTimeline::text() const
 {
     std::string text;
     for (const json::object& line : lines()) {
--- a/src/shell/CallStory.h
+++ b/src/shell/CallTimeline.h
@@ -13,10 +13,10 @@
 /// - the states of its engines as seen by the instances that handled it
 /// - the orders of any instance to its engines
 /// - log lines of any instance about its request up to the last line of the call, such as a quarantine
-class CallStory {
+class CallTimeline {
 public:
     /// @param call  id of the call, as in the field "call" of the logs
-    explicit CallStory(std::string call);
+    explicit CallTimeline(std::string call);
 
     /// Adds one line of a log. Text before the first brace, such as a time or a host, is ignored. A line that has no
     /// JSON object with a time is counted as unreadable, unless it is empty.
--- a/src/shell/OperatorApi.cpp
+++ b/src/shell/OperatorApi.cpp
@@ -84,7 +84,7 @@
                 entries.push_back({ name, {}, Revision() });
                 continue;
             }
-            auto entry = checkedEntry(name, json::serialize(*value));
+            auto entry = validatedEntry(name, json::serialize(*value));
             if (!entry.ok())
                 return entry.status();
             entries.push_back(*std::move(entry));
--- a/src/shell/Settings.cpp
+++ b/src/shell/Settings.cpp
@@ -127,12 +127,12 @@
             .readMs("minStallMs", core.minStall)
             .readMs("firstTokenStallMs", core.firstTokenStall)
             .read("stallFactor", core.stallFactor)
-            .readMs("answerMemoryMs", core.answerMemory)
+            .readMs("answerMemoryMs", core.answerRetention)
             .read("answerMemoryLimit", core.answerMemoryLimit);
         Section(root, "claims")
             .read("shards", core.claimShards)
             .readMs("timeoutMs", core.claimTimeout)
-            .readMs("lingerMs", core.claimLinger)
+            .readMs("lingerMs", core.minClaimCallInterval)
             .readMs("retentionMs", core.claimRetention);
         Section(root, "membership")
             .readMs("gossipIntervalMs", core.gossipInterval)
--- a/standins/EngineStandin.cpp
+++ b/standins/EngineStandin.cpp
@@ -207,7 +207,7 @@
 {
     m_reservations[stream->attempt] = std::chrono::steady_clock::now();
     co_await useSlot();
-    const std::string entry = traceEntry(m_report.backend, m_report.layers, m_report.generation);
+    const std::string entry = formatTraceEntry(m_report.backend, m_report.layers, m_report.generation);
     Step step;
     if (hop + 1 >= stream->hops.size()) {
         step.ok = true;
--- a/tests/CallTimelineTest.cpp
+++ b/tests/CallTimelineTest.cpp
@@ -1,9 +1,9 @@
-#include "shell/CallStory.h"
+#include "shell/CallTimeline.h"
 #include "tests/Tests.h"
 
 using namespace crocusmount;
 
-TEST_GROUP(CallStory) {};
+TEST_GROUP(CallTimeline) {};
 
 namespace {
 
@@ -22,9 +22,9 @@
     "no log line",
 };
 
-CallStory storyOf(const char* call)
+CallTimeline storyOf(const char* call)
 {
-    CallStory story(call);
+    CallTimeline story(call);
     for (const char* line : LogLines)
         story.take(line);
     return story;
@@ -32,9 +32,9 @@
 
 } // namespace
 
-TEST(CallStory, LinesOfACallAndOfItsEnginesAreSortedByTime)
+TEST(CallTimeline, LinesOfACallAndOfItsEnginesAreSortedByTime)
 {
-    const CallStory story = storyOf("c1");
+    const CallTimeline story = storyOf("c1");
     CHECK_TRUE(story.isKnown());
     CHECK_EQUAL(1U, story.unreadable());
     const struct {
@@ -49,7 +49,7 @@
     }
 }
 
-TEST(CallStory, QuarantineOfTheRequestIsShown)
+TEST(CallTimeline, QuarantineOfTheRequestIsShown)
 {
     const auto lines = storyOf("c4").lines();
     CHECK_EQUAL(2U, lines.size());
@@ -59,16 +59,16 @@
     CHECK_EQUAL(0, lines[1].at("since_ms").as_int64());
 }
 
-TEST(CallStory, TextHasOneRowPerLogLine)
+TEST(CallTimeline, TextHasOneRowPerLogLine)
 {
     const std::string text = storyOf("c2").text();
     CHECK_TRUE(text.find("0 ms  a  attempt") == 0);
     CHECK_EQUAL(1, std::count(text.begin(), text.end(), '\n'));
 }
 
-TEST(CallStory, UnknownCallHasNoLines)
+TEST(CallTimeline, UnknownCallHasNoLines)
 {
-    const CallStory story = storyOf("c3");
+    const CallTimeline story = storyOf("c3");
     CHECK_FALSE(story.isKnown());
     CHECK_TRUE(story.lines().empty());
     CHECK_TEXT("", story.text());
--- a/tests/ClaimLogTest.cpp
+++ b/tests/ClaimLogTest.cpp
@@ -27,7 +27,7 @@
 
 TEST(ClaimLog, RequestIsNotDispatchedBeforeItsClaimIsCommitted)
 {
-    harness.request(ReducerHarness::onceSpec("k"));
+    harness.request(ReducerHarness::nonRepeatableSpec("k"));
     CHECK_EQUAL(0U, harness.count<effect::StartAttempt>());
     CHECK_EQUAL(1U, harness.count<effect::ReadClaims>());
     const auto append = readEmptyLog();
@@ -39,7 +39,7 @@
 
 TEST(ClaimLog, RequestFailsIfAnotherInstanceHasClaimedItsKey)
 {
-    harness.request(ReducerHarness::onceSpec("k"));
+    harness.request(ReducerHarness::nonRepeatableSpec("k"));
     const auto append = readEmptyLog();
     harness.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Conflict, 9 });
     harness.tick(std::chrono::milliseconds(60));
@@ -65,7 +65,7 @@
         ReducerHarness caseHarness;
         caseHarness.configure();
         caseHarness.reportAll();
-        caseHarness.request(ReducerHarness::onceSpec("k"));
+        caseHarness.request(ReducerHarness::nonRepeatableSpec("k"));
         caseHarness.send(event::ClaimsRead { ShardId(0), true, 0, 0, {} });
         caseHarness.tick(std::chrono::milliseconds(60));
         const auto append = *caseHarness.last<effect::AppendClaims>();
@@ -85,7 +85,7 @@
 
 TEST(ClaimLog, ClaimTimeoutFailsTheRequestAsNotRunAndReleasesTheKey)
 {
-    harness.request(ReducerHarness::onceSpec("k"));
+    harness.request(ReducerHarness::nonRepeatableSpec("k"));
     readEmptyLog();
     harness.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Unknown, 0 });
     harness.tick(std::chrono::seconds(3));
@@ -103,13 +103,13 @@
 TEST(ClaimLog, OneWriteContainsAllPendingClaims)
 {
     for (int i = 0; i < 8; ++i)
-        harness.request(ReducerHarness::onceSpec("k" + std::to_string(i)));
+        harness.request(ReducerHarness::nonRepeatableSpec("k" + std::to_string(i)));
     CHECK_EQUAL(8U, readEmptyLog().claims.size());
 }
 
 TEST(ClaimLog, NonRepeatableRequestThatMayHaveRunIsNotRetried)
 {
-    harness.request(ReducerHarness::onceSpec("k"));
+    harness.request(ReducerHarness::nonRepeatableSpec("k"));
     readEmptyLog();
     harness.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Committed, 5 });
     const auto start = *harness.last<effect::StartAttempt>();
@@ -120,7 +120,7 @@
 
 TEST(ClaimLog, NonRepeatableRequestThatDidNotRunIsRetried)
 {
-    harness.request(ReducerHarness::onceSpec("k"));
+    harness.request(ReducerHarness::nonRepeatableSpec("k"));
     readEmptyLog();
     harness.send(event::ClaimsAppended { ShardId(0), WriteOutcome::Committed, 5 });
     const auto start = *harness.last<effect::StartAttempt>();
--- a/tests/ConfigurationTest.cpp
+++ b/tests/ConfigurationTest.cpp
@@ -32,7 +32,7 @@
         { "backends/b", "[]", "expected an object" },
     };
     for (const auto& each : cases) {
-        const auto entry = checkedEntry(each.key, each.json);
+        const auto entry = validatedEntry(each.key, each.json);
         CHECK_EQUAL_TEXT(!*each.expectedError, entry.ok(), each.json);
         if (*each.expectedError)
             CHECK_TRUE_TEXT(
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -109,7 +109,7 @@
 
 TEST(Edge, ConfigurationIsDecoded)
 {
-    const auto configuration = platform::configurationFrom(
+    const auto configuration = platform::parseConfiguration(
         R"({"version":7,"routes":[{"name":"r","hostname":"F.example","prefix":"/l/","route_type":"streaming",
         "timeout_ms":20000,"target_latency_ms":500,"priority_class":1,"traffic_split":[{"backend":"a","weight":90},
         {"backend":"b","weight":10}],"max_attempts":2,"resumable":true,"gap_aim_ms":250},{"name":"s","prefix":"/m/",
@@ -129,7 +129,7 @@
     CHECK_EQUAL(100U, configuration->limits.headerBytes);
     CHECK_EQUAL(3, configuration->workspaces.at(0).rank.value_or(0));
     for (const char* invalidText : { "", "[]", "{}", R"({"version":"x"})" })
-        CHECK_FALSE_TEXT(platform::configurationFrom(invalidText).ok(), invalidText);
+        CHECK_FALSE_TEXT(platform::parseConfiguration(invalidText).ok(), invalidText);
 }
 
 TEST(Edge, SettingsErrorsNameTheField)
--- a/tests/PeerLinkTest.cpp
+++ b/tests/PeerLinkTest.cpp
@@ -4,7 +4,7 @@
 #include "platform/WireNames.h"
 #include "shell/Endpoint.h"
 #include "tests/Tests.h"
-#include "tests/fakes/NoControl.h"
+#include "tests/fakes/RefusingEngineControl.h"
 
 using namespace crocusmount;
 using std::chrono::milliseconds;
@@ -96,7 +96,7 @@
             m_configuration = event.entry.value;
     }
 
-    NoControl m_control;
+    RefusingEngineControl m_control;
     relay::RelayNode m_node;
     SwitchableStore m_store;
     InstanceRegistry m_registry;
--- a/tests/ReducerHarness.cpp
+++ b/tests/ReducerHarness.cpp
@@ -79,7 +79,7 @@
     return spec;
 }
 
-RequestSpec ReducerHarness::onceSpec(const std::string& key)
+RequestSpec ReducerHarness::nonRepeatableSpec(const std::string& key)
 {
     RequestSpec once = spec();
     once.repeatable = false;
--- a/tests/ReducerHarness.h
+++ b/tests/ReducerHarness.h
@@ -38,7 +38,7 @@
     /// @return a repeatable request of workspace "w" to pipeline "p" without an idempotency key
     static RequestSpec spec(std::uint32_t tokens = 3);
     /// @return a request that must not run twice, with an idempotency key
-    static RequestSpec onceSpec(const std::string& key);
+    static RequestSpec nonRepeatableSpec(const std::string& key);
 
     /// @return the last effect of type T among the effects of the last event
     template <typename T>
--- a/tests/ReducerTest.cpp
+++ b/tests/ReducerTest.cpp
@@ -282,7 +282,7 @@
         fresh.configure();
         fresh.reportAll();
         for (std::uint64_t i = 1; i < 20; ++i) {
-            feed(event::RequestArrived { RequestId(i), ReducerHarness::onceSpec("k" + std::to_string(i)) });
+            feed(event::RequestArrived { RequestId(i), ReducerHarness::nonRepeatableSpec("k" + std::to_string(i)) });
             feed(event::ClaimsRead { ShardId(0), true, 0, 0, {} });
             feed(event::ClaimsAppended { ShardId(0), WriteOutcome::Committed, static_cast<std::int64_t>(i) });
             feed(event::AttemptFailed { AttemptId(i), Reason::StageFailed, RunState::MayHaveRun, BackendId("b1") });
--- a/tests/RelayLoopbackTest.cpp
+++ b/tests/RelayLoopbackTest.cpp
@@ -7,7 +7,7 @@
 #include "shell/Endpoint.h"
 #include "tests/RelayHarness.h"
 #include "tests/Tests.h"
-#include "tests/fakes/NoControl.h"
+#include "tests/fakes/RefusingEngineControl.h"
 
 #include <cstring>
 #include <optional>
@@ -98,7 +98,7 @@
     const std::optional<RequestIdentity>& quarantined = std::nullopt)
 {
     net::io_context context(BOOST_ASIO_CONCURRENCY_HINT_UNSAFE);
-    NoControl control;
+    RefusingEngineControl control;
     RelayOptions options;
     options.dataCentre = DataCentreId("z");
     RelayNode node(context, options, platform::headerNames(), control);
--- a/tests/RoutingTest.cpp
+++ b/tests/RoutingTest.cpp
@@ -40,8 +40,8 @@
         }
     }
     CHECK_TRUE(ChainPicker::make("best") == nullptr);
-    CHECK_TRUE(ChainPicker::reachesEnd({ 4, completeStages }));
-    CHECK_FALSE(ChainPicker::reachesEnd({ 4, stagesWithGap }));
+    CHECK_TRUE(ChainPicker::coversModel({ 4, completeStages }));
+    CHECK_FALSE(ChainPicker::coversModel({ 4, stagesWithGap }));
 }
 
 TEST(Routing, FlowPickerPrefersLessLoadedStagesAndAvoidsFailedAndLowWeightOnes)
--- a/tests/StoreEntryTest.cpp
+++ b/tests/StoreEntryTest.cpp
@@ -10,7 +10,7 @@
 #include "shell/HttpClient.h"
 #include "tests/RelayHarness.h"
 #include "tests/Tests.h"
-#include "tests/fakes/NoControl.h"
+#include "tests/fakes/RefusingEngineControl.h"
 
 #include <boost/json.hpp>
 
@@ -75,7 +75,7 @@
 /// The parts of an instance that apply changes of the store, with the configuration of RelayHarness in force.
 struct TestInstance {
     net::io_context context { BOOST_ASIO_CONCURRENCY_HINT_UNSAFE };
-    NoControl control;
+    RefusingEngineControl control;
     RelayNode node { context, {}, platform::headerNames(), control };
     RecordingStore store;
     InstanceRegistry registry { context, store, store, { "self", "1.1.1.1:1", "z", "" } };
@@ -101,7 +101,7 @@
 
 TEST(StoreEntry, ValidServerEntryIsDecoded)
 {
-    const auto server = platform::serverFrom("i-1", ValidEntry);
+    const auto server = platform::parseServer("i-1", ValidEntry);
     CHECK_TRUE(server.ok());
     CHECK_TRUE(server->leaving);
     CHECK_TEXT("card", server->accelerator);
@@ -111,7 +111,7 @@
     for (const std::string& entry :
         { validEntryWith("layers", "null"), validEntryWithout("layers"), validEntryWith("state", R"("ready")"),
             validEntryWithout("route_type"), validEntryWithout("born"), validEntryWith("another", R"({"deep":[1]})") })
-        CHECK_TRUE_TEXT(platform::serverFrom("i-1", entry).ok(), entry.c_str());
+        CHECK_TRUE_TEXT(platform::parseServer("i-1", entry).ok(), entry.c_str());
 }
 
 TEST(StoreEntry, InvalidServerEntryIsRejected)
@@ -137,7 +137,7 @@
         invalidEntries.push_back(validEntryWith("layers", value));
     invalidEntries.push_back(validEntryWith("route_type", "3"));
     for (const std::string& entry : invalidEntries)
-        CHECK_FALSE_TEXT(platform::serverFrom("i-1", entry).ok(), entry.substr(0, 300).c_str());
+        CHECK_FALSE_TEXT(platform::parseServer("i-1", entry).ok(), entry.substr(0, 300).c_str());
 }
 
 TEST(StoreEntry, InvalidEntryRemovesOnlyServerThatItReplaces)
--- a/tests/fakes/NoControl.h
+++ b/tests/fakes/RefusingEngineControl.h
@@ -5,7 +5,7 @@
 namespace crocusmount {
 
 /// Engine control that reports every engine as alive and refuses every order with status 409.
-class NoControl final : public EngineControl {
+class RefusingEngineControl final : public EngineControl {
 private:
     Awaitable<EngineReport> onCheck(std::string) override { co_return EngineReport { CheckAnswer::Alive, 1, {}, {} }; }
     Awaitable<ServerIdentity> onIdentify(std::string, std::string) override { co_return ServerIdentity {}; }
--- a/tests/fakes/World.cpp
+++ b/tests/fakes/World.cpp
@@ -251,7 +251,7 @@
         toEntry(*attempt, other);
     }
     if (use(faults.wrongTrace)) {
-        token.trace = traceEntry(BackendId("nobody"), { 0, 1 }, Generation(1));
+        token.trace = formatTraceEntry(BackendId("nobody"), { 0, 1 }, Generation(1));
         token.text = badText;
     }
     if (!use(faults.gap))
