--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -357,7 +357,7 @@
 
 /// @param row  a table row, of which only the first column is used
 /// @return the number at the start of the last column in the row of the page with an equal first column, NaN if there
-/// is no such row
+///         is no such row
 double valueAtTarget(const std::string& page, const std::string& row)
 {
     const std::string name = row.substr(0, row.find('|', 2));
@@ -372,7 +372,7 @@
 /// Prints each row that deviates.
 /// @param reproducibleRows  the table measured now
 /// @return whether each memory figure of the page is within 10 % of the measured one, as heap usage varies with the
-/// allocator
+///         allocator
 bool pageMatches(const std::string& page, const std::string& reproducibleRows)
 {
     std::stringstream lines(reproducibleRows);
--- a/src/edge/PeerLink.cpp
+++ b/src/edge/PeerLink.cpp
@@ -230,10 +230,10 @@
         sendRepeatedly(encode(datagram));
 }
 
-void PeerLink::onShareHarmlessRequest(const relay::effect::ShareHarmlessRequest& sound)
+void PeerLink::onShareHarmlessRequest(const relay::effect::ShareHarmlessRequest& harmless)
 {
     PeerDatagram datagram;
-    datagram.soundRequests.push_back(sound.request);
+    datagram.soundRequests.push_back(harmless.request);
     sendRepeatedly(encode(datagram));
 }
 
--- a/src/edge/PeerSink.h
+++ b/src/edge/PeerSink.h
@@ -11,7 +11,7 @@
 
     void shareFinding(const relay::effect::ReportEngineState& finding) { onShareFinding(finding); }
     void shareCrashes(const relay::effect::ShareCrashes& crashes) { onShareCrashes(crashes); }
-    void shareHarmlessRequest(const relay::effect::ShareHarmlessRequest& sound) { onShareHarmlessRequest(sound); }
+    void shareHarmlessRequest(const relay::effect::ShareHarmlessRequest& harmless) { onShareHarmlessRequest(harmless); }
 
 private:
     virtual void onShareFinding(const relay::effect::ReportEngineState&) = 0;
--- a/src/edge/RelayNode.cpp
+++ b/src/edge/RelayNode.cpp
@@ -306,10 +306,10 @@
         m_peers->shareCrashes(crashes);
 }
 
-void RelayNode::on(const effect::ShareHarmlessRequest& sound)
+void RelayNode::on(const effect::ShareHarmlessRequest& harmless)
 {
     if (m_peers)
-        m_peers->shareHarmlessRequest(sound);
+        m_peers->shareHarmlessRequest(harmless);
 }
 
 void RelayNode::on(const effect::LogCrash& note)
--- a/src/edge/StoreMirror.cpp
+++ b/src/edge/StoreMirror.cpp
@@ -14,10 +14,10 @@
     constexpr std::chrono::milliseconds MinRetryPause { 100 };
     /// Bounds the delay after which the copy notices that the store is back.
     constexpr std::chrono::milliseconds MaxRetryPause { 400 };
-    /// Maximum pause between failed calls to the store of a distributor that receives a peer's progress. The peer calls
-    /// the store more often and reports immediately when the store is back.
+    /// Maximum pause between a distributor's failed calls to the store while it receives a peer's progress. The peer
+    /// calls the store more often and reports immediately when the store is back.
     constexpr std::chrono::milliseconds MaxDistributorRetryPause { 1500 };
-    /// Outages that are longer than this may let other clients' leases expire. Shorter ones are retried calls.
+    /// Outages that are longer than this may let other clients' leases expire. Shorter ones only cause retries.
     constexpr std::chrono::milliseconds MinOutage { 1000 };
     /// Time after which a call to a store that has become silent fails.
     constexpr std::chrono::milliseconds SilentCallTimeout { 2000 };
@@ -48,8 +48,8 @@
     /// Delay of the first watch. Instances that start at the same time have written their entries by then, so that one
     /// watch returns all of them.
     constexpr std::chrono::milliseconds StartupDelay { 350 };
-    /// Maximum pause between failed calls to the store of an instance that is not a distributor and receives a peer's
-    /// progress. A distributor or a peer's copy brings it changes earlier than its own calls.
+    /// Like MaxDistributorRetryPause, for an instance that is not a distributor. A distributor or a peer's copy brings
+    /// it changes earlier than its own calls.
     constexpr std::chrono::milliseconds MaxFollowerRetryPause { 3000 };
     /// Interval of the checks whether a fed copy is still fed, whether a peer is ahead and whether a watch is stalled.
     constexpr std::chrono::milliseconds PollInterval { 50 };
@@ -398,7 +398,7 @@
     return m_isWatching && m_isStoreReachable && !m_needsFullRead && m_watchRank < MaxDistributors;
 }
 
-/// @return whether a peer has had a later revision for so long that its changes will not arrive any more
+/// @return whether a peer has had a later revision for longer than its changes may take to arrive
 bool StoreMirror::isBehindPeer() const
 {
     return m_peerRevision > m_revision && std::chrono::steady_clock::now() > m_behindPeerSince + MaxPeerDelay;
@@ -462,9 +462,9 @@
 {
     const auto now = std::chrono::steady_clock::now();
     if (!m_isStoreReachable && m_isComplete) {
-        // If the store answered peers, only this instance had lost it, and no leases expired. Deferring deletions in
-        // that case, here and through the reported grace at the peers, let calls reach a server 2.1 s after it
-        // had left.
+        // If the store answered peers, only this instance had lost it, and no leases expired. When deletions were
+        // deferred in that case too, here and through the reported grace at the peers, calls reached a server 2.1 s
+        // after it had left.
         if (now - m_storeLostAt > MinOutage && now - m_peerLastAnswer > MinOutage)
             m_deferDeletionsUntil = now + DeletionGrace;
         relay::DecisionLog::state("store_regained", { { "silent_ms", age().count() }, { "revision", m_revision } });
--- a/src/idl/peer.thrift
+++ b/src/idl/peer.thrift
@@ -123,7 +123,7 @@
   6: optional i64 leavingInstance
   // Requests under which the sender saw servers end.
   7: optional list<CrashReport> crashes
-  // Requests of these that the sender has seen run soundly.
+  // Requests of these that the sender has seen run without crashing a server.
   8: optional list<RequestName> soundRequests
   // The receiver forwards storeChanges to the listed instances of its data centre with ids after its own, up to and
   // including this id.
--- a/src/planning/HolderWeights.h
+++ b/src/planning/HolderWeights.h
@@ -20,7 +20,7 @@
 public:
     /// @param model         must outlive this object
     /// @param meanSlowness  mean AcceleratorKind::stepFactor of the fleet, weighted by the layers that each accelerator
-    /// holds
+    ///                      holds
     HolderWeights(const relay::EngineModel& model, double meanSlowness);
 
     /// Makes each holder count as 1.
--- a/src/relay/RelayReducer.cpp
+++ b/src/relay/RelayReducer.cpp
@@ -12,7 +12,7 @@
     constexpr unsigned Misdirected = 421;
     /// Longest time that a retry waits for capacity. The caller's own time limit is near by then.
     constexpr Duration MaxRetryWait = std::chrono::milliseconds(800);
-    /// Most calls that wait for the first configuration. Further ones are refused at once.
+    /// Maximum number of calls that wait for the first configuration. Further ones are refused at once.
     constexpr std::size_t MaxEarlyCalls = 256;
     /// Weight of the latest gap in the moving average of a stream's gaps between events.
     constexpr double EventGapWeight = 0.2;
--- a/src/relay/RelayReducerChecks.cpp
+++ b/src/relay/RelayReducerChecks.cpp
@@ -20,8 +20,8 @@
     /// Share of the route's objective after which a stream without a first event is silent. Engines read a prompt in
     /// about 60 ms.
     constexpr double FirstEventSilenceShare = 0.3;
-    /// Between two checks of one engine by this instance while it does not answer, and after it answered: an engine
-    /// that has just answered is unlikely to be dead.
+    /// Time between two checks of one engine by this instance if it did not answer the first one, and if it did. An
+    /// engine that has just answered is unlikely to be dead.
     constexpr Duration UnansweredCheckInterval = std::chrono::milliseconds(400);
     constexpr Duration AnsweredCheckInterval = std::chrono::milliseconds(1000);
     /// Engines that report a slowness above the threshold are checked again at the interval until they recover.
@@ -29,8 +29,8 @@
     constexpr Duration SlowEngineCheckInterval = std::chrono::milliseconds(1000);
     /// An engine is assumed to be alive for this long after the last event through it.
     constexpr Duration AssumedAliveAfterEvent = std::chrono::milliseconds(100);
-    /// How long after the failure of one engine others are suspected of having failed with it. By the end of this time
-    /// the calls through each failed engine have noticed its silence, and all instances have been told.
+    /// For this time after the failure of one engine, others are suspected of having failed with it. By its end the
+    /// calls through each failed engine have noticed its silence, and all instances have been told.
     constexpr Duration GroupFailureWindow = std::chrono::milliseconds(500);
     /// Shortest time between any check of an engine and an urgent one. Engines answer within a few milliseconds.
     constexpr Duration UrgentCheckInterval = std::chrono::milliseconds(100);
@@ -45,7 +45,7 @@
     /// A dead engine is checked this long before calls would be sent to it again.
     constexpr Duration DeadRecheckLead = std::chrono::milliseconds(200);
 
-    /// @return whether a stream has had no event for so long that its stages should be checked
+    /// @return whether a stream has been without an event long enough for its stages to be checked
     bool isSilent(const Call& call, TimePoint now)
     {
         if (call.main.answerHeldUntil)
@@ -120,8 +120,8 @@
     }
 }
 
-/// Checks engines that other instances report in trouble. Such a report alone marks no engine as dead, because the
-/// reporting instance may itself be behind a network partition.
+/// Checks engines that other instances avoid because they failed, stalled or were full. Such a report alone marks no
+/// engine as dead, because the reporting instance may itself be behind a network partition.
 void RelayReducer::checkAvoidedEngines(Context& context)
 {
     for (const auto& [id, server] : m_fleet.servers()) {
@@ -232,9 +232,8 @@
 /// Engines that run calls of this instance are checked at once, and others only when a call would go there. If every
 /// instance checked all engines, healthy ones would be busy with connections and be taken for dead.
 ///
-/// @param isCertain  whether the failed engine is known to be dead. If it only did not answer, it may be overloaded,
-/// and
-///                   calls do not wait for checks of other engines.
+/// @param isCertain  whether the failed engine is known to be dead. If it only did not answer, it may be overloaded
+///                   instead, and calls do not wait for checks of other engines.
 void RelayReducer::checkEnginesAfterFailure(bool isCertain, Context& context)
 {
     if (isCertain)
@@ -274,7 +273,7 @@
     return isCheckPending;
 }
 
-/// Takes an engine for dead if another instance found it dead and a stream of this instance is silent there. Without
+/// Marks an engine as dead if another instance found it dead and a stream of this instance is silent there. Without
 /// such a stream the engine is checked.
 void RelayReducer::on(const event::EnginesReportedDead& reported, Context& context)
 {
--- a/src/relay/RelayReducerCrashes.cpp
+++ b/src/relay/RelayReducerCrashes.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-    /// Between two checks whether a held call may be queued.
+    /// Time between two checks whether a held call may be queued.
     constexpr Duration HoldCheckInterval = std::chrono::milliseconds(50);
-    /// Between two probes of a server if the first did not show whether it is alive.
+    /// Time between two probes of a server if the first did not show whether it is alive.
     constexpr Duration ReprobeInterval = std::chrono::milliseconds(400);
     /// Longest time that a call is held. By then it is known whether each server end belongs to a group failure, or it
-    /// cannot be known.
+    /// will stay unknown.
     constexpr Duration MaxHold = std::chrono::milliseconds(1000);
 
     /// @return how strongly the end of a server suggests that an attempt there caused it
@@ -40,7 +40,7 @@
 bool RelayReducer::countsCrashes() const { return !m_options.without.has(Mechanism::Quarantine); }
 
 /// @return how strongly the end of a server suggests that an attempt there caused it; CrashSign::None if the request
-/// recently ran soundly
+///         recently ran without crashing a server
 CrashSign RelayReducer::crashSign(const Call& call, const Attempt& attempt) const
 {
     return m_harmlessRequests.contains(call.identity) ? CrashSign::None : signOf(call, attempt);
@@ -213,7 +213,7 @@
 }
 
 /// Forgets all evidence against a request, and its quarantine.
-/// @param isOwn  whether this instance saw the request run soundly
+/// @param isOwn  whether this instance saw the request run without crashing a server
 /// @return whether there was any evidence
 bool RelayReducer::clearRequest(const RequestIdentity& request, bool isOwn, Context& context)
 {
@@ -225,8 +225,8 @@
     return true;
 }
 
-/// Records that a request is sound: it ran longer than a request that crashes its server, or to its end. Evidence from
-/// servers that ended while it was there is dropped.
+/// Records that a request is harmless: it ran longer than a request that crashes its server, or to its end. Evidence
+/// from servers that ended while it was there is dropped.
 void RelayReducer::recordHarmlessRequest(Call& call, Context& context)
 {
     call.wasHarmless = true;
--- a/src/relay/RelayReducerMoves.cpp
+++ b/src/relay/RelayReducerMoves.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-    /// Between two attempts to move one stream. An engine without room would take it only at the cost of other calls.
+    /// Time between two attempts to move one stream. An engine without room takes it only at the cost of other calls.
     constexpr Duration MoveInterval = std::chrono::seconds(10);
     /// Longest time that an answer is held back for the attempt that will continue it. Callers wait two seconds for an
     /// event.
     constexpr Duration MaxAnswerHold = std::chrono::milliseconds(1000);
     /// Shortest pause in an answer after which callers give up.
     constexpr Duration CallerEventTimeout = std::chrono::milliseconds(2000);
-    /// Between two searches for a server that can continue an interrupted answer.
+    /// Time between two searches for a server that can continue an interrupted answer.
     constexpr Duration ResumeInterval = std::chrono::milliseconds(20);
 
 } // namespace
--- a/src/relay/RelayReducerServers.cpp
+++ b/src/relay/RelayReducerServers.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-    /// Most entries that fit no service and are kept for the next configuration. Other clients of the store may write
-    /// any number of them.
+    /// Maximum number of entries that fit no service and are kept for the next configuration. Other clients of the
+    /// store may write any number of them.
     constexpr std::size_t MaxUnusableEntries = 1000;
-    /// Between two attempts to replace a lost stage. Each is a search over all engines.
+    /// Time between two attempts to replace a lost stage. Each is a search over all engines.
     constexpr Duration LostStageRetryInterval = std::chrono::milliseconds(200);
 
 } // namespace
@@ -142,7 +142,7 @@
 }
 
 /// @return whether a server's process is known to have ended: a later start replaced it, or its port refuses
-/// connections
+///         connections
 bool RelayReducer::isGone(const BackendId& id) const
 {
     const auto server = m_fleet.servers().find(id);
--- a/src/relay/RelayReducerTime.cpp
+++ b/src/relay/RelayReducerTime.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-    /// A stage counts as stalled unless an event of any call passed it more than this long after the call's own last
-    /// event.
+    /// A stage of a silent call counts as stalled if no event of any call passed it later than this after the call's
+    /// own last event.
     constexpr Duration StallTolerance = std::chrono::milliseconds(40);
-    /// Multiple of the stall limit for a chain whose stages all make progress with other calls. It may only be slow
-    /// with this call.
+    /// Multiple of the stall limit for a chain whose stages all make progress with other calls. The chain may just
+    /// be slow with this call.
     constexpr int UnexplainedStallFactor = 3;
-    /// Most stages that are all abandoned when they stall. If more seem to have stalled, the first stage is asked which
-    /// one has.
+    /// Maximum number of stalled stages that are all abandoned. If more seem to have stalled, the first stage is asked
+    /// which one has.
     constexpr std::size_t MaxSuspectedStages = 2;
 
 } // namespace
@@ -88,8 +88,8 @@
     return limit.value_or(isBudgetSpent ? RetryLimit::Budget : RetryLimit::NoServer);
 }
 
-/// Reports a stream without an event within the objective to the concurrency limit. This shows an overload earlier than
-/// the first event, which arrives later still.
+/// Tells the concurrency limit of a stream that has had no event within the objective. This shows an overload earlier
+/// than the late first event would.
 void RelayReducer::recordLateFirstEvent(Call& call, Context& context)
 {
     if (!isStream(call.route->kind) || call.main.eventsDelivered || call.main.isFirstEventLate
--- a/src/shell/BackendClient.h
+++ b/src/shell/BackendClient.h
@@ -20,7 +20,7 @@
     void cancel(AttemptId attempt) { onCancel(attempt); }
     /// Sends a health probe and posts BackendReported or BackendUnreachable.
     /// @param service  configuration of the server if it is a plain service, which returns no load report; null for
-    ///     other servers
+    ///                 other servers
     void probe(const effect::ProbeBackend& probe, const BackendServer* service) { onProbe(probe, service); }
 
 private:
--- a/src/shell/CallTimeline.h
+++ b/src/shell/CallTimeline.h
@@ -30,7 +30,7 @@
     /// @return the log lines by time; "since_ms" is added: milliseconds since the first line of the call
     std::vector<boost::json::object> lines() const;
     /// @return lines() as text, one per line: milliseconds since the first line of the call, instance, what, other
-    /// fields
+    ///         fields
     std::string text() const;
 
 private:
--- a/src/shell/Listener.h
+++ b/src/shell/Listener.h
@@ -12,7 +12,7 @@
 /// @param address  "ip:port"
 /// @param backlog  maximum number of connections that wait to be accepted
 /// @return the socket; InvalidArgument if the address is malformed, or Unavailable with the address and the system
-/// error
+///         error
 inline absl::StatusOr<Acceptor> listenOn(net::io_context& context, const std::string& address, int backlog)
 {
     const auto endpoint = parseEndpoint<Tcp>(address);
--- a/src/shell/Node.h
+++ b/src/shell/Node.h
@@ -31,7 +31,7 @@
     /// Opens the peer transport and starts the loops on the io_context.
     /// @param recordFile  path of the file that records events and effects for replay; empty: nothing is recorded
     /// @return the running node; NotFound if recordFile cannot be written, or the error of the reducer's options or of
-    ///     the peer transport
+    ///         the peer transport
     static absl::StatusOr<std::unique_ptr<Node>> make(net::io_context&, const Settings&, const std::string& recordFile);
     ~Node();
 
@@ -48,7 +48,7 @@
 
     const Reducer& reducer() const { return *m_reducer; }
     /// @return the time that an event gets if it is posted now: wall-clock time at the start plus steady-clock time
-    ///     since then
+    ///         since then
     TimePoint now() const;
     const Settings& settings() const { return m_settings; }
     StoreClient& store() { return *m_store; }
--- a/tests/fakes/World.h
+++ b/tests/fakes/World.h
@@ -113,7 +113,7 @@
     std::uint64_t peerBytes() const { return m_peerBytes; }
     std::uint64_t peerMessages() const { return m_peerMessages; }
     /// @return one duration for each accepted revision and entry instance: from acceptance until it was in force there.
-    /// A restarted instance adds them once more.
+    ///         A restarted instance adds them once more.
     const std::vector<Duration>& forceTimes() const { return m_forceTimes; }
     void forgetForceTimes() { m_forceTimes.clear(); }
     /// @return number of live entry instances that watch the store themselves
