--- a/src/relay/RelayReducer.cpp
+++ b/src/relay/RelayReducer.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-    /// Status of a server that is not the one expected, or does not hold the layers that it was asked for.
+    /// HTTP status of a server that is not the expected instance, or that does not hold the requested layers.
     constexpr unsigned Misdirected = 421;
-    /// A retry that waits for room gives up after this; by then the caller's own limit is near.
-    constexpr Duration RetryWait = std::chrono::milliseconds(800);
-    /// Calls that wait for the first configuration; an instance that starts late takes no more.
-    constexpr std::size_t MostUnrouted = 256;
-    /// Weight of one gap in a stream's usual one.
-    constexpr double GapWeight = 0.2;
+    /// Longest time that a retry waits for capacity. The caller's own time limit is near by then.
+    constexpr Duration MaxRetryWait = std::chrono::milliseconds(800);
+    /// Most calls that wait for the first configuration. Further ones are refused at once.
+    constexpr std::size_t MaxEarlyCalls = 256;
+    /// Weight of the latest gap in the moving average of a stream's gaps between events.
+    constexpr double EventGapWeight = 0.2;
 
     Reason reasonOf(AttemptResult result)
     {
@@ -73,13 +73,14 @@
     return waiting;
 }
 
+/// @return the call of a running attempt, or null if the attempt is unknown or has ended
 Call* RelayReducer::findByAttempt(AttemptId id)
 {
     const auto attempt = m_attempts.find(id);
     return attempt == m_attempts.end() ? nullptr : &m_calls.at(attempt->second);
 }
 
-// ---- What is known -------------------------------------------------------------------------------------------------
+// ---- Configuration and load ----------------------------------------------------------------------------------------
 
 void RelayReducer::on(const event::ConfigurationAccepted& accepted, Context& context)
 {
@@ -88,7 +89,7 @@
     m_routes = accepted.routes;
     ++m_counters.configurationsAccepted;
     for (const auto& [id, server] : std::exchange(m_unusable, {}))
-        takeEntry(server, context);
+        registerServer(server, context);
     dispatchAll(context);
 }
 
@@ -103,19 +104,21 @@
 
 void RelayReducer::on(const event::LoadsReported& reported, Context& context)
 {
-    const bool used = !m_options.without.has(Mechanism::LoadExchange);
-    m_fleet.setOthersLoad(used ? reported.loads : std::nullopt, context.now);
+    const bool isEnabled = !m_options.without.has(Mechanism::LoadExchange);
+    m_fleet.setOthersLoad(isEnabled ? reported.loads : std::nullopt, context.now);
     checkAvoidedEngines(context);
 }
 
 void RelayReducer::on(const event::DrainRequested&, Context& context)
 {
-    if (!m_drainedAt)
-        m_drainedAt = context.now;
+    if (!m_drainRequestedAt)
+        m_drainRequestedAt = context.now;
 }
 
-// ---- A call's life -------------------------------------------------------------------------------------------------
+// ---- Calls and attempts --------------------------------------------------------------------------------------------
 
+/// Resolves route, workspace, rank and service of a call.
+/// @return why the call is refused, or nothing if it is admitted
 std::optional<Reason> RelayReducer::admit(Call& call, const Context& context) const
 {
     if (!m_routes)
@@ -125,11 +128,11 @@
     // Callers do not retry after UnknownRoute or UnknownKey, so an outdated configuration must not produce them.
     if (!call.route)
         return m_isStoreCopyOutdated ? Reason::NotConfigured : Reason::UnknownRoute;
-    if (m_drainedAt && context.now > *m_drainedAt + m_options.lastCall)
+    if (m_drainRequestedAt && context.now > *m_drainRequestedAt + m_options.acceptAfterDrainStart)
         return Reason::Draining;
     call.rank = call.route->rank;
     if (!m_routes->configuration().workspaces.empty() && !call.route->anonymous) {
-        const KeyHolder* holder = m_routes->holderOf(call.spec.key);
+        const WorkspaceKeys* holder = m_routes->workspaceByKey(call.spec.key);
         if (!holder)
             return m_isStoreCopyOutdated ? Reason::NotConfigured : Reason::UnknownKey;
         call.workspace = holder->workspace;
@@ -145,17 +148,19 @@
 void RelayReducer::on(const event::CallArrived& arrival, Context& context)
 {
     ++m_counters.calls;
-    if (!m_routes && m_unrouted.size() < MostUnrouted) {
-        const Duration patience = arrival.spec.patience;
-        const Duration wait = patience.count() > 0
-            ? std::min(m_options.configurationWait, scaled(patience, m_options.configurationWaitShare))
+    if (!m_routes && m_earlyCalls.size() < MaxEarlyCalls) {
+        const Duration callerTimeout = arrival.spec.callerTimeout;
+        const Duration wait = callerTimeout.count() > 0
+            ? std::min(m_options.configurationWait, scaled(callerTimeout, m_options.configurationWaitShare))
             : m_options.configurationWait;
-        m_unrouted.push_back({ arrival, context.now, context.now + wait });
+        m_earlyCalls.push_back({ arrival, context.now, context.now + wait });
         return;
     }
     admitOrRefuse(arrival, context.now, context);
 }
 
+/// Admits a call, then starts it, queues it, holds it for a crash verdict, or refuses it.
+/// @param arrived  the call's deadline counts from this time, which is earlier than the event's for an early call
 void RelayReducer::admitOrRefuse(const event::CallArrived& arrival, TimePoint arrived, Context& context)
 {
     Call call;
@@ -165,21 +170,21 @@
     if (const auto refusal = admit(call, context)) {
         ++m_counters.refused.at(static_cast<std::size_t>(*refusal));
         context.effects.emplace_back(
-            effect::Refuse { call.id, *refusal, RunState::NotRun, comeBackAfter(*refusal, context) });
+            effect::Refuse { call.id, *refusal, RunState::NotRun, retryAfterFor(*refusal, context) });
         return;
     }
     const Route& route = *call.route;
-    const Duration patience = call.spec.patience.count() > 0 ? call.spec.patience : route.timeout;
-    call.deadline = arrived + std::min(patience, route.timeout);
+    const Duration callerTimeout = call.spec.callerTimeout.count() > 0 ? call.spec.callerTimeout : route.timeout;
+    call.deadline = arrived + std::min(callerTimeout, route.timeout);
     call.waitUntil = context.now + scaled(route.objective, m_options.queueWaitShare);
     const std::uint32_t expected
         = call.spec.expectedAnswerTokens ? call.spec.expectedAnswerTokens : call.spec.maxAnswerTokens;
     call.tokens = call.spec.promptTokens + expected;
-    call.lastEvent = call.spec.resumeAfter.value_or(0);
-    budgetOf(call.service).earn();
+    call.lastEventId = call.spec.resumeAfter.value_or(0);
+    budgetOf(call.service).addRequest();
     Call& stored = m_calls.emplace(call.id, std::move(call)).first->second;
-    if (awaitsVerdict(stored)) {
-        hold(stored, context);
+    if (awaitsCrashVerdict(stored)) {
+        holdCall(stored, context);
         return;
     }
     FairQueue& waiting = queueOf(stored).waiting();
@@ -195,7 +200,7 @@
 
 void RelayReducer::on(const event::CallerLeft& left, Context& context)
 {
-    std::erase_if(m_unrouted, [&](const Unrouted& waiting) { return waiting.arrival.call == left.call; });
+    std::erase_if(m_earlyCalls, [&](const EarlyCall& waiting) { return waiting.arrival.call == left.call; });
     const auto found = m_calls.find(left.call);
     if (found == m_calls.end())
         return;
@@ -210,7 +215,7 @@
     Call* call = findByAttempt(sent.attempt);
     if (!call)
         return;
-    call->attempt(sent.attempt).sent = true;
+    call->attempt(sent.attempt).wasSent = true;
 }
 
 void RelayReducer::on(const event::AnswerBegun& begun, Context& context)
@@ -219,7 +224,7 @@
     if (!call)
         return;
     Attempt& attempt = call->attempt(begun.attempt);
-    attempt.begunAt = context.now;
+    attempt.answerBegunAt = context.now;
     m_fleet.answerBegun(attempt.server, attempt.chain, context.now);
 }
 
@@ -229,24 +234,24 @@
     if (!call)
         return;
     keepOnly(*call, delivered.attempt, context);
-    if (!call->main.events && !call->main.late && !call->hasMetTrouble()) {
-        const double ratio = std::chrono::duration<double>(context.now - call->main.started)
+    if (!call->main.eventsDelivered && !call->main.isFirstEventLate && !call->hasAvoidedServers()) {
+        const double ratio = std::chrono::duration<double>(context.now - call->main.startedAt)
             / std::chrono::duration<double>(call->route->objective);
         queueOf(*call).limit().answered(ratio, queueOf(*call).running(), context.now);
-    } else if (call->main.events) {
-        call->usualGap += scaled(context.now - call->lastProgress - call->usualGap, GapWeight);
+    } else if (call->main.eventsDelivered) {
+        call->meanEventGap += scaled(context.now - call->lastProgress - call->meanEventGap, EventGapWeight);
     }
-    if (!call->main.events)
-        m_fleet.accepted(call->main.chain, context.now);
-    ++call->main.events;
-    call->answering = true;
-    call->lastEvent = delivered.eventId;
+    if (!call->main.eventsDelivered)
+        m_fleet.recordAccepted(call->main.chain, context.now);
+    ++call->main.eventsDelivered;
+    call->hasPartialAnswer = true;
+    call->lastEventId = delivered.eventId;
     call->lastProgress = context.now;
-    call->lastDelivered = context.now;
-    m_fleet.progressed(call->main.chain, context.now);
-    const TimePoint begun = call->main.begunAt.value_or(call->main.started);
-    if (!call->ranSoundly && context.now - begun >= SoundRun)
-        noteSound(*call, context);
+    call->lastDeliveredAt = context.now;
+    m_fleet.recordProgress(call->main.chain, context.now);
+    const TimePoint begun = call->main.answerBegunAt.value_or(call->main.startedAt);
+    if (!call->wasHarmless && context.now - begun >= MinHarmlessRun)
+        recordHarmlessRequest(*call, context);
 }
 
 void RelayReducer::on(const event::AttemptEnded& ended, Context& context)
@@ -257,8 +262,8 @@
     Call& call = *found;
     if (ended.result == AttemptResult::Completed) {
         keepOnly(call, ended.attempt, context);
-        m_fleet.succeeded(call.main.server);
-        noteSound(call, context);
+        m_fleet.recordSuccess(call.main.server);
+        recordHarmlessRequest(call, context);
         release(call, call.main, context);
         ++m_counters.completed;
         remove(call.id);
@@ -267,94 +272,100 @@
     }
     const bool wasSecond = call.second && call.second->id == ended.attempt;
     const Attempt attempt = wasSecond ? *call.second : call.main;
-    noteOutcome(attempt, call, ended, context);
+    recordFailedAttempt(attempt, call, ended, context);
     release(call, attempt, context);
     if (ended.result == AttemptResult::ConnectFailed || ended.result == AttemptResult::NotRun) {
         ++call.rejections;
     } else {
-        call.ranOn.push_back(attempt.server);
-        call.mayHaveRun = call.mayHaveRun || attempt.sent;
+        call.mayHaveRunOn.push_back(attempt.server);
+        call.mayHaveRun = call.mayHaveRun || attempt.wasSent;
     }
     if (call.second) {
-        // The other attempt goes on.
+        // The other attempt continues.
         if (!wasSecond)
             call.main = *call.second;
-        endSecond(call, context);
+        endSecondAttempt(call, context);
     } else {
-        call.addAvoided(blamedFor(attempt, ended));
+        call.addAvoided(blamedServer(attempt, ended));
         retryOrFinish(call, reasonOf(ended.result), context);
     }
     dispatchAll(context);
 }
 
-/// @return the stage that the answer names, else the server that was asked
-BackendId RelayReducer::blamedFor(const Attempt& attempt, const event::AttemptEnded& ended)
+/// @return the stage that the answer names as the cause of the failure, else the server of the attempt
+BackendId RelayReducer::blamedServer(const Attempt& attempt, const event::AttemptEnded& ended)
 {
     const FleetServer* named = ended.culprit.empty() ? nullptr : m_fleet.findByAddress(ended.culprit);
     return named ? named->entry.id : attempt.server;
 }
 
-/// Room at the other engines does not shrink with the death of one: such rejections say nothing of an overload.
+/// The failure of one engine does not reduce the capacity of the others, so rejections by an engine that may be dead
+/// must not lower the concurrency limit.
+/// @return whether the server is unregistered, dead, or being checked
 bool RelayReducer::mayBeDead(const BackendId& id, TimePoint now)
 {
     const FleetServer* server = m_fleet.find(id);
     return !server || server->beingChecked || server->isDead(now);
 }
 
-void RelayReducer::noteOutcome(
+/// Updates what is known of a server, and of the service's load, after an attempt that did not complete.
+void RelayReducer::recordFailedAttempt(
     const Attempt& attempt, const Call& call, const event::AttemptEnded& ended, Context& context)
 {
-    const BackendId blamed = blamedFor(attempt, ended);
+    const BackendId blamed = blamedServer(attempt, ended);
     switch (ended.result) {
     case AttemptResult::NotRun:
         checkNamedEngine(attempt, ended, context);
         if (ended.status == Misdirected) {
-            // It does not hold what is registered: no call will do better until its entry changes.
-            m_fleet.suspect(blamed, context.now + m_options.suspicion);
+            // The server does not hold the layers that its entry lists, so all calls fail until the entry changes.
+            m_fleet.setAvoidedUntil(blamed, context.now + m_options.stallAvoidance);
             return;
         }
         if (!mayBeDead(blamed, context.now))
             queueOf(call).limit().rejected(queueOf(call).running(), context.now);
-        m_fleet.turnedAway(blamed, context.now);
+        m_fleet.recordRejection(blamed, context.now);
         return;
     case AttemptResult::ConnectFailed:
     case AttemptResult::Broken:
-        m_fleet.failed(blamed, context.now);
+        m_fleet.recordFailure(blamed, context.now);
         if (ended.result == AttemptResult::Broken)
-            noteLost(call, attempt, context);
-        // One whose process has ended refuses the check too, and all are told.
+            recordLostAttempt(call, attempt, context);
+        // If the process has ended, the check is refused too, and the result is shared with all instances.
         if (FleetServer* server = m_fleet.find(blamed); server && ended.result == AttemptResult::ConnectFailed)
             checkUrgently(*server, context);
         return;
     default:
-        // Some calls fail by their nature; that tells nothing of the server.
+        // A failure may be due to the call itself, so it does not count against the server.
         return;
     }
 }
 
-/// @return attempts that the route's limit counts. An answer under way may go on at another server for each that has
-/// left since.
-std::uint32_t RelayReducer::attemptsOf(const Call& call) const
+/// Counts the attempts that may have run the call, for the route's limit. Once the caller has a part of the answer,
+/// servers that have left since are not counted, so that planned leaves do not use up the attempts of a long answer.
+std::uint32_t RelayReducer::countedAttempts(const Call& call) const
 {
-    const auto counts = [&](const BackendId& id) { return !call.answering || !m_fleet.hasLeft(id); };
-    return static_cast<std::uint32_t>(std::count_if(call.ranOn.begin(), call.ranOn.end(), counts));
+    const auto counts = [&](const BackendId& id) { return !call.hasPartialAnswer || !m_fleet.hasLeft(id); };
+    return static_cast<std::uint32_t>(std::count_if(call.mayHaveRunOn.begin(), call.mayHaveRunOn.end(), counts));
 }
 
-/// @return what forbids another attempt at the call, whatever the budget; nothing: it may be tried again
+/// Applies every limit but the retry budget.
+/// @return the limit that forbids another attempt, or nothing if the call may be retried
 std::optional<RetryLimit> RelayReducer::retryLimit(const Call& call, const Context& context) const
 {
     if (call.mayHaveRun && !isRepeatable(call.route->kind))
         return RetryLimit::NotRepeatable;
-    if (attemptsOf(call) >= call.route->maxAttempts)
+    if (countedAttempts(call) >= call.route->maxAttempts)
         return RetryLimit::Attempts;
-    // An answer that ends midway is worth more tries: the budget and the caller's patience bound them.
-    if (!call.answering && call.rejections >= m_options.mostRejections)
+    // A partial answer may be rejected more often: the retry budget and the caller's timeout bound its attempts.
+    if (!call.hasPartialAnswer && call.rejections >= m_options.maxRejections)
         return RetryLimit::Rejections;
     if (context.now >= call.deadline)
         return RetryLimit::Deadline;
     return std::nullopt;
 }
 
+/// Retries a call without a running attempt, or gives its final answer.
+/// @param reason  why the last attempt failed
 void RelayReducer::retryOrFinish(Call& call, Reason reason, Context& context)
 {
     if (m_quarantine.isQuarantined(call.identity, context.now)) {
@@ -362,22 +373,22 @@
         return;
     }
     std::optional<RetryLimit> limit = retryLimit(call, context);
-    // A server that ran it may leave while the caller waits.
-    if (call.answering && (!limit || *limit == RetryLimit::Attempts)) {
+    // The attempts limit may no longer apply when a server that ran the call leaves while the caller waits.
+    if (call.hasPartialAnswer && (!limit || *limit == RetryLimit::Attempts)) {
         interrupt(call, reason, context);
         return;
     }
-    if (!limit && (isRetryTaken(call.service) || !budgetOf(call.service).spend()))
+    if (!limit && (isRetryReserved(call.service) || !budgetOf(call.service).spend()))
         limit = RetryLimit::Budget;
     if (!limit) {
         ++m_counters.retried.at(static_cast<std::size_t>(reason));
-        if (awaitsVerdict(call))
-            hold(call, context);
+        if (awaitsCrashVerdict(call))
+            holdCall(call, context);
         else
-            enqueueAgain(call, context);
+            requeue(call, context);
         return;
     }
-    if (reason == Reason::ServerFailure && !call.answering) {
+    if (reason == Reason::ServerFailure && !call.hasPartialAnswer) {
         ++m_counters.retriesDenied.at(static_cast<std::size_t>(*limit));
         context.effects.emplace_back(effect::DeliverServerFailure { call.id });
         remove(call.id);
@@ -386,42 +397,46 @@
     finishUnanswered(call, reason, context, limit);
 }
 
-/// Has a call that was running wait for another server, before those that came after it.
-void RelayReducer::enqueueAgain(Call& call, Context& context)
+/// Starts another attempt at a call. Without capacity the call is queued ahead of its workspace's other calls.
+void RelayReducer::requeue(Call& call, Context& context)
 {
-    call.waitUntil = std::min(call.deadline, context.now + RetryWait);
+    call.waitUntil = std::min(call.deadline, context.now + MaxRetryWait);
     call.state = CallState::Waiting;
     if (!place(call, context))
         queueOf(call).waiting().pushFront(call.workspace, 1, -call.rank, call.id);
 }
 
+/// Ends a call without a complete answer: refuses it, or breaks off the answer if the caller has a part of it.
+/// @param limit  what forbade another attempt, or nothing if no attempt failed
 void RelayReducer::finishUnanswered(Call& call, Reason reason, Context& context, std::optional<RetryLimit> limit)
 {
     ++m_counters.refused.at(static_cast<std::size_t>(reason));
     if (limit)
         ++m_counters.retriesDenied.at(static_cast<std::size_t>(*limit));
-    if (call.answering) {
+    if (call.hasPartialAnswer) {
         context.effects.emplace_back(effect::BreakAnswer { call.id, reason, limit });
     } else {
         const RunState run = call.mayHaveRun ? RunState::MayHaveRun : RunState::NotRun;
-        const Duration comeBack = reason == Reason::NoCapacity ? comeBackAfterShortage(queueOf(call), context)
-                                                               : comeBackAfter(reason, context);
-        context.effects.emplace_back(effect::Refuse { call.id, reason, run, comeBack, limit });
+        const Duration retryAfter = reason == Reason::NoCapacity ? retryAfterShortage(queueOf(call), context)
+                                                                 : retryAfterFor(reason, context);
+        context.effects.emplace_back(effect::Refuse { call.id, reason, run, retryAfter, limit });
     }
     remove(call.id);
 }
 
+/// Cancels a running attempt. The attempt counts against the route's limit.
 void RelayReducer::cancel(Call& call, const Attempt& attempt, CancelCause cause, Context& context)
 {
     context.effects.emplace_back(effect::CancelAttempt { attempt.id, cause });
     if (mayBeDead(attempt.server, context.now))
-        noteLost(call, attempt, context);
-    call.mayHaveRun = call.mayHaveRun || attempt.sent;
-    call.ranOn.push_back(attempt.server);
+        recordLostAttempt(call, attempt, context);
+    call.mayHaveRun = call.mayHaveRun || attempt.wasSent;
+    call.mayHaveRunOn.push_back(attempt.server);
     release(call, attempt, context);
 }
 
-/// Cancels the call's attempts but for one, which becomes the main one.
+/// Cancels the running attempts of a call except for one, which becomes the main attempt.
+/// @param kept  default-constructed to cancel all attempts because the call has ended
 void RelayReducer::keepOnly(Call& call, AttemptId kept, Context& context)
 {
     if (call.state != CallState::Running)
@@ -429,7 +444,7 @@
     const CancelCause cause = kept == AttemptId() ? CancelCause::CallEnded : CancelCause::Superseded;
     if (call.second && call.second->id != kept) {
         cancel(call, *call.second, cause, context);
-        endSecond(call, context);
+        endSecondAttempt(call, context);
     }
     if (call.main.id == kept)
         return;
@@ -441,6 +456,7 @@
     }
 }
 
+/// Frees the capacity that a finished attempt had booked, including that of an unanswered reroute.
 void RelayReducer::release(Call& call, const Attempt& attempt, Context& context)
 {
     m_attempts.erase(attempt.id);
@@ -451,10 +467,11 @@
         return;
     }
     m_fleet.unbook(attempt.chain, call.tokens);
-    if (!attempt.reroute.hops().empty())
-        m_fleet.unbook(attempt.reroute, call.tokens);
+    if (!attempt.pendingReroute.hops().empty())
+        m_fleet.unbook(attempt.pendingReroute, call.tokens);
 }
 
+/// Forgets a call whose attempts have been released.
 void RelayReducer::remove(RequestId id)
 {
     const auto found = m_calls.find(id);
--- a/src/relay/RelayReducerChecks.cpp
+++ b/src/relay/RelayReducerChecks.cpp
@@ -1,8 +1,8 @@
-// What RelayReducer asks engines, and what it does with their answers: which engines are dead, which are slow.
+// How RelayReducer checks engines, and how it reacts to dead, slow and closed ones.
 //
-// The load pattern that this answers: an engine falls silent while dozens of streams pass through it. Each of them
-// waits for its own stall to be long enough, and new ones keep coming; the pause that callers accept is over by then. A
-// check of the few stages that a silent stream depends on tells a dead one from a busy one within milliseconds.
+// Load pattern: an engine stops answering while dozens of streams pass through it. If each stream waited for its own
+// stall timeout, callers would time out first, and new calls would keep arriving at the engine. A check of the few
+// stages that a silent stream depends on tells a dead engine from a busy one within milliseconds.
 
 #include "relay/RelayReducer.h"
 #include "relay/ScaledDuration.h"
@@ -13,47 +13,53 @@
 
 namespace {
 
-    /// A stream is silent after this multiple of its usual gap; few sound streams have a gap of twice the usual one.
-    constexpr double SilentGaps = 2.5;
-    /// Shortest silence. The reducer looks each 20 ms.
-    constexpr Duration LeastSilence = std::chrono::milliseconds(60);
-    /// Part of the objective for which a first event is waited without a question; prompts are read in some 60 ms.
-    constexpr double FirstEventShare = 0.3;
-    /// Between two checks of one engine by this instance. One that has just answered is hardly dead.
-    constexpr Duration CheckInterval = std::chrono::milliseconds(400);
-    constexpr Duration AnsweredInterval = std::chrono::milliseconds(1000);
-    /// Engines that report more than this are checked again, each so often, until they are well.
-    constexpr double SlowFactor = 1.5;
-    constexpr Duration SlowCheckInterval = std::chrono::milliseconds(1000);
-    /// An engine with an event through it this shortly ago is taken to live.
-    constexpr Duration SweepSilence = std::chrono::milliseconds(100);
-    /// How long after the death of one engine others are suspected to have died with it. All that died have been silent
-    /// to their own calls by then, and all instances are told of them.
-    constexpr Duration GroupSuspicion = std::chrono::milliseconds(500);
-    /// Between two urgent checks of one engine. Engines answer within a few milliseconds.
-    constexpr Duration UrgentInterval = std::chrono::milliseconds(100);
-    /// How long a call is held for the answer of a stage to a check: a silent one has missed it by then.
-    constexpr Duration CheckWait = std::chrono::milliseconds(100);
-    /// Reports are some hundred milliseconds old: one asked for this long after a call was turned away tells of then.
-    constexpr Duration ReportAge = std::chrono::milliseconds(300);
-    /// An engine that turns calls away with less of its memory taken is not short of it, whatever the prompt.
-    constexpr double RoomShare = 0.7;
-    /// A dead engine is checked again this long before it would be used again.
-    constexpr Duration RecheckLead = std::chrono::milliseconds(200);
+    /// A stream is silent after this multiple of its mean event gap. Few healthy streams have a gap of twice the mean.
+    constexpr double SilentGapFactor = 2.5;
+    /// Shortest time without an event that counts as silence. The reducer runs every 20 ms.
+    constexpr Duration MinSilence = std::chrono::milliseconds(60);
+    /// Share of the route's objective after which a stream without a first event is silent. Engines read a prompt in
+    /// about 60 ms.
+    constexpr double FirstEventSilenceShare = 0.3;
+    /// Between two checks of one engine by this instance while it does not answer, and after it answered: an engine
+    /// that has just answered is unlikely to be dead.
+    constexpr Duration UnansweredCheckInterval = std::chrono::milliseconds(400);
+    constexpr Duration AnsweredCheckInterval = std::chrono::milliseconds(1000);
+    /// Engines that report a slowness above the threshold are checked again at the interval until they recover.
+    constexpr double SlownessRecheckThreshold = 1.5;
+    constexpr Duration SlowEngineCheckInterval = std::chrono::milliseconds(1000);
+    /// An engine is assumed to be alive for this long after the last event through it.
+    constexpr Duration AssumedAliveAfterEvent = std::chrono::milliseconds(100);
+    /// How long after the failure of one engine others are suspected of having failed with it. By the end of this time
+    /// the calls through each failed engine have noticed its silence, and all instances have been told.
+    constexpr Duration GroupFailureWindow = std::chrono::milliseconds(500);
+    /// Shortest time between any check of an engine and an urgent one. Engines answer within a few milliseconds.
+    constexpr Duration UrgentCheckInterval = std::chrono::milliseconds(100);
+    /// Longest time that a call waits for a stage to answer a check. A stage that has not answered by then has missed
+    /// it.
+    constexpr Duration MaxCheckWait = std::chrono::milliseconds(100);
+    /// Age of the load figures in an engine's answer to a check, which is a few hundred milliseconds. A check that is
+    /// sent this long after a rejection returns the load at about the time of the rejection.
+    constexpr Duration ReportLag = std::chrono::milliseconds(300);
+    /// Below this share of used memory an engine has room for any prompt, so memory is not why it rejects calls.
+    constexpr double MaxMemoryShareWithRoom = 0.7;
+    /// A dead engine is checked this long before calls would be sent to it again.
+    constexpr Duration DeadRecheckLead = std::chrono::milliseconds(200);
 
+    /// @return whether a stream has had no event for so long that its stages should be checked
     bool isSilent(const Call& call, TimePoint now)
     {
-        if (call.main.heldUntil)
+        if (call.main.answerHeldUntil)
             return false;
-        const Duration still = now - call.lastProgress;
-        if (!call.main.events)
-            return still > scaled(call.route->objective, FirstEventShare);
-        return still > std::max(LeastSilence, scaled(call.usualGap, SilentGaps));
+        const Duration sinceProgress = now - call.lastProgress;
+        if (!call.main.eventsDelivered)
+            return sinceProgress > scaled(call.route->objective, FirstEventSilenceShare);
+        return sinceProgress > std::max(MinSilence, scaled(call.meanEventGap, SilentGapFactor));
     }
 
 } // namespace
 
-void RelayReducer::suspectSilentStages(Call& call, Context& context)
+/// Abandons the dead stages of a silent stream, or checks its stalled stages if none is known to be dead.
+void RelayReducer::checkSilentStages(Call& call, Context& context)
 {
     if (!isStream(call.route->kind) || call.main.chain.hops().empty() || !isSilent(call, context.now))
         return;
@@ -64,7 +70,7 @@
             dead.push_back(hop.backend);
     }
     if (!dead.empty()) {
-        leaveStages(call, dead, context);
+        abandonStages(call, dead, context);
         return;
     }
     for (const BackendId& stage : stalledStages(call)) {
@@ -73,54 +79,59 @@
     }
 }
 
+/// Checks an engine unless it was checked recently or the check budget is spent.
 void RelayReducer::checkEngine(FleetServer& server, Context& context)
 {
-    const Duration interval = server.unansweredChecks ? CheckInterval : AnsweredInterval;
-    if (context.now >= server.lastCheck + interval && mayAsk(server) && m_checkBudget.spend())
-        ask(server, context);
+    const Duration interval = server.unansweredChecks ? UnansweredCheckInterval : AnsweredCheckInterval;
+    if (context.now >= server.lastCheckAt + interval && mayCheck(server) && m_checkBudget.spend())
+        sendCheck(server, context);
 }
 
-/// The same where there is a sign that it died: a check that it answered before does not count.
+/// Checks an engine that shows a sign of failure. The shorter interval applies even if it answered the last check.
 void RelayReducer::checkUrgently(FleetServer& server, Context& context)
 {
-    if (context.now >= server.lastCheck + UrgentInterval && mayAsk(server) && m_checkBudget.spendUrgent())
-        ask(server, context);
+    if (context.now >= server.lastCheckAt + UrgentCheckInterval && mayCheck(server) && m_checkBudget.spendUrgent())
+        sendCheck(server, context);
 }
 
-bool RelayReducer::mayAsk(const FleetServer& server) const
+/// @return whether the server is an engine without a check under way, and checks are enabled
+bool RelayReducer::mayCheck(const FleetServer& server) const
 {
     return server.isEngine() && !server.beingChecked && !m_options.without.has(Mechanism::EngineChecks);
 }
 
-void RelayReducer::ask(FleetServer& server, Context& context)
+void RelayReducer::sendCheck(FleetServer& server, Context& context)
 {
     server.beingChecked = true;
-    server.lastCheck = context.now;
+    server.lastCheckAt = context.now;
     ++m_counters.engineChecks;
     context.effects.emplace_back(effect::CheckEngine { server.entry.id, server.entry.address, server.entry.startedAt });
 }
 
-void RelayReducer::recheckSickEngines(Context& context)
+void RelayReducer::recheckDeadAndSlowEngines(Context& context)
 {
     for (const BackendId& id : m_fleet.checkCandidates(context.now)) {
         FleetServer& server = *m_fleet.find(id);
-        const bool dead = server.isDead(context.now) && context.now + RecheckLead >= server.deadUntil;
-        const bool slow = server.slowness > SlowFactor && context.now >= server.lastCheck + SlowCheckInterval;
-        if (dead || slow)
+        const bool isDeadCheckDue = server.isDead(context.now) && context.now + DeadRecheckLead >= server.deadUntil;
+        const bool isSlowCheckDue
+            = server.slowness > SlownessRecheckThreshold && context.now >= server.lastCheckAt + SlowEngineCheckInterval;
+        if (isDeadCheckDue || isSlowCheckDue)
             checkEngine(server, context);
     }
 }
 
-/// Others' word that an engine is in trouble is a reason to look, never a verdict: they may be cut off themselves.
+/// Checks engines that other instances report in trouble. Such a report alone marks no engine as dead, because the
+/// reporting instance may itself be behind a network partition.
 void RelayReducer::checkAvoidedEngines(Context& context)
 {
     for (const auto& [id, server] : m_fleet.servers()) {
-        if (server.others.avoiders >= 1 && !server.isDead(context.now))
+        if (server.othersLoad.avoiders >= 1 && !server.isDead(context.now))
             checkEngine(*m_fleet.find(id), context);
     }
 }
 
-/// A stage that an answer blames may be full or dead. New calls learn of a dead one at once, streams only by silence.
+/// Checks the stage that a failed answer names, which may be full or dead. New calls learn at once that a stage is
+/// dead, but running streams notice only that no events arrive.
 void RelayReducer::checkNamedEngine(const Attempt& attempt, const event::AttemptEnded& ended, Context& context)
 {
     FleetServer* named = ended.culprit.empty() ? nullptr : m_fleet.findByAddress(ended.culprit);
@@ -132,73 +143,73 @@
 {
     FleetServer* server = m_fleet.find(checked.engine);
     if (!server || checked.asked != server->entry.startedAt)
-        return; // It started again meanwhile, or is gone.
+        return; // The engine has restarted or was unregistered since the check was sent.
     server->beingChecked = false;
-    if (!takeStart(checked.engine, checked.answering, checked.layers, context))
+    if (!applyReportedStart(checked.engine, checked.answering, checked.layers, context))
         return;
-    server = m_fleet.find(checked.engine); // A new start stands at another place.
+    server = m_fleet.find(checked.engine); // A new start replaces the fleet's entry.
     if (!server)
         return;
     if (checked.answered) {
-        m_crashEvidence.noteAlive(server->others.engine);
-        m_fleet.answeredCheck(checked.engine, checked.slowness);
-        noteClosed(checked, context);
+        m_crashEvidence.noteAlive(server->othersLoad.engine);
+        m_fleet.recordAnsweredCheck(checked.engine, checked.slowness);
+        recordClosed(checked, context);
         dispatchAll(context);
         return;
     }
-    m_crashEvidence.noteSilent(server->others.engine, context.now, server->lastAliveAt);
+    m_crashEvidence.noteSilent(server->othersLoad.engine, context.now, server->lastAliveAt);
     if (checked.refused)
-        noteServerEnded(*server, context);
-    m_fleet.missedCheck(checked.engine, checked.refused, context.now);
+        recordServerEnded(*server, context);
+    m_fleet.recordMissedCheck(checked.engine, checked.refused, context.now);
     ++m_counters.deadEngines;
     server = m_fleet.find(checked.engine);
-    const bool tells = !m_options.without.has(Mechanism::DeadReports);
-    if (tells && server && server->unansweredChecks == 1)
-        context.effects.emplace_back(effect::ShareFinding { checked.engine, server->entry.startedAt });
+    const bool sharesDeath = !m_options.without.has(Mechanism::DeadReports);
+    if (sharesDeath && server && server->unansweredChecks == 1)
+        context.effects.emplace_back(effect::ReportEngineState { checked.engine, server->entry.startedAt });
     if (server && server->unansweredChecks == 1)
-        checkSilentEngines(checked.refused, context);
-    // Streams through a process that is gone hold memory at all other stages until their callers give up on them.
+        checkEnginesAfterFailure(checked.refused, context);
+    // Streams through an ended process hold memory at all other stages until their callers time out.
     if (checked.refused)
-        leaveEndedStart(checked.engine, context);
+        abandonEndedServer(checked.engine, context);
     else
-        leaveDeadEngine(checked.engine, context);
+        abandonDeadEngine(checked.engine, context);
     dispatchAll(context);
 }
 
-/// Asks engines that turned calls away whether they had room then.
+/// Checks engines that rejected calls, to learn whether they had room at that time.
 ///
-/// The load pattern that this answers: engines leave while the store is silent, so that no list says so. Each instance
-/// is turned away by each of them again and again, which spends the retries of all.
+/// Load pattern: engines leave while the store does not answer, so their entries do not show that they leave. Each
+/// instance is rejected by each of these engines again and again, which spends the retries of all instances.
 void RelayReducer::checkClosedEngines(Context& context)
 {
     for (const BackendId& id : m_fleet.checkCandidates(context.now)) {
         FleetServer& suspect = *m_fleet.find(id);
-        if (!suspect.closedCheckDue || context.now < suspect.turnedAwayAt + ReportAge)
+        if (!suspect.closedCheckDue || context.now < suspect.lastRejectedAt + ReportLag)
             continue;
         suspect.closedCheckDue = false;
-        const bool isSettled = suspect.acceptedAt > suspect.turnedAwayAt || suspect.isClosed(context.now);
-        if (!isSettled && !suspect.isDead(context.now))
+        const bool isResolved = suspect.lastAcceptedAt > suspect.lastRejectedAt || suspect.isClosed(context.now);
+        if (!isResolved && !suspect.isDead(context.now))
             checkUrgently(suspect, context);
     }
 }
 
-/// An engine that turned a call away, has accepted none since and has room takes no new work. All are told, since each
-/// would find out by a call that is turned away.
-void RelayReducer::noteClosed(const event::EngineChecked& checked, Context& context)
+/// Marks an engine as closed, that is, accepting no new work, if it rejected a call, has accepted none since and has
+/// room. The finding is shared, because each other instance would otherwise need a rejected call to learn of it.
+void RelayReducer::recordClosed(const event::EngineChecked& checked, Context& context)
 {
     const FleetServer* server = m_fleet.find(checked.engine);
-    const bool hasRoom = !checked.queued && checked.memoryUsed < RoomShare;
+    const bool hasRoom = !checked.queued && checked.memoryUsed < MaxMemoryShareWithRoom;
     if (!server || !hasRoom || m_options.without.has(Mechanism::ClosedEngines) || server->isClosed(context.now))
         return;
-    const Duration since = context.now - server->turnedAwayAt;
-    if (since < ReportAge || since > 2 * ReportAge || server->acceptedAt > server->turnedAwayAt)
+    const Duration since = context.now - server->lastRejectedAt;
+    if (since < ReportLag || since > 2 * ReportLag || server->lastAcceptedAt > server->lastRejectedAt)
         return;
-    m_fleet.closed(checked.engine, context.now);
+    m_fleet.markClosed(checked.engine, context.now);
     ++m_counters.closedEngines;
-    context.effects.emplace_back(
-        effect::NoteBelief { effect::NoteBelief::Belief::Closed, checked.engine, server->entry.startedAt });
-    context.effects.emplace_back(
-        effect::ShareFinding { checked.engine, server->entry.startedAt, effect::ShareFinding::Finding::Closed });
+    context.effects.emplace_back(effect::LogServerState {
+        effect::LogServerState::ServerStateChange::Closed, checked.engine, server->entry.startedAt });
+    context.effects.emplace_back(effect::ReportEngineState {
+        checked.engine, server->entry.startedAt, effect::ReportEngineState::Finding::Closed });
 }
 
 void RelayReducer::on(const event::EnginesReportedClosed& reported, Context& context)
@@ -207,75 +218,82 @@
         return;
     for (const auto& [id, server] : m_fleet.servers()) {
         const auto& keys = reported.engines;
-        if (server.isClosed(context.now) || std::find(keys.begin(), keys.end(), server.others.engine) == keys.end())
+        if (server.isClosed(context.now) || std::find(keys.begin(), keys.end(), server.othersLoad.engine) == keys.end())
             continue;
-        m_fleet.closed(id, context.now);
-        context.effects.emplace_back(
-            effect::NoteBelief { effect::NoteBelief::Belief::ReportedClosed, id, server.entry.startedAt });
+        m_fleet.markClosed(id, context.now);
+        context.effects.emplace_back(effect::LogServerState {
+            effect::LogServerState::ServerStateChange::ReportedClosed, id, server.entry.startedAt });
     }
 }
 
-/// The death of one engine raises the chance that others died with it, as with their rack or switch. A stream that is
-/// sent on before that is known meets the next dead stage, and after three of these it is given up. Engines that own
-/// calls pass through are asked at once, the others where a call would go there: if each instance asked all, sound
-/// engines would be busy with connections and taken for dead.
+/// Checks engines that may have failed together with another one, as when a rack or a switch fails. A stream that moves
+/// on before such failures are known reaches the next dead stage, and fails after three of them.
 ///
-/// @param isCertain  the engine is dead for certain; one that only did not answer may be overloaded, and then it does
-///                   not keep calls from going elsewhere at once
-void RelayReducer::checkSilentEngines(bool isCertain, Context& context)
+/// Engines that run calls of this instance are checked at once, and others only when a call would go there. If every
+/// instance checked all engines, healthy ones would be busy with connections and be taken for dead.
+///
+/// @param isCertain  whether the failed engine is known to be dead. If it only did not answer, it may be overloaded,
+/// and
+///                   calls do not wait for checks of other engines.
+void RelayReducer::checkEnginesAfterFailure(bool isCertain, Context& context)
 {
     if (isCertain)
-        m_groupDiedAt = context.now;
+        m_lastCertainFailureAt = context.now;
     for (const auto& [id, server] : m_fleet.servers()) {
         if (server.ownTokenLayers > 0)
-            suspectOfDyingAlong(*m_fleet.find(id), context);
+            checkForGroupFailure(*m_fleet.find(id), context);
     }
 }
 
-void RelayReducer::suspectOfDyingAlong(FleetServer& server, Context& context)
+/// Checks an engine urgently, unless an event passed through it recently or it is already known to be dead.
+void RelayReducer::checkForGroupFailure(FleetServer& server, Context& context)
 {
-    if (server.lastProgress + SweepSilence > context.now || server.isDead(context.now))
+    if (server.lastProgress + AssumedAliveAfterEvent > context.now || server.isDead(context.now))
         return;
-    server.sweptAt = context.now;
+    server.groupCheckedAt = context.now;
     checkUrgently(server, context);
 }
 
-/// @return whether a stage is suspected for the death of another one, and is about to answer whether it lives
+/// Checks the stages of a chain that may have failed together with another engine, see checkEnginesAfterFailure.
+/// @return whether a stage has yet to answer such a check
 bool RelayReducer::awaitsCheck(const Chain& chain, Context& context)
 {
-    const bool isSuspicious = m_groupDiedAt && context.now < *m_groupDiedAt + GroupSuspicion;
-    bool awaits = false;
+    const bool isWithinWindow = m_lastCertainFailureAt && context.now < *m_lastCertainFailureAt + GroupFailureWindow;
+    bool isCheckPending = false;
     for (const Hop& hop : chain.hops()) {
         FleetServer* server = m_fleet.find(hop.backend);
         if (!server)
             continue;
-        const bool hasShownLife = std::max(server->lastCheck, server->listedAt) >= m_groupDiedAt.value_or(context.now);
-        if (isSuspicious && !hasShownLife)
-            suspectOfDyingAlong(*server, context);
-        awaits = awaits || (server->beingChecked && context.now < server->sweptAt + CheckWait);
+        const bool isKnownSinceFailure
+            = std::max(server->lastCheckAt, server->listedAt) >= m_lastCertainFailureAt.value_or(context.now);
+        if (isWithinWindow && !isKnownSinceFailure)
+            checkForGroupFailure(*server, context);
+        isCheckPending
+            = isCheckPending || (server->beingChecked && context.now < server->groupCheckedAt + MaxCheckWait);
     }
-    return awaits;
+    return isCheckPending;
 }
 
-/// Another instance's check and an own stream that is silent there are proof enough; without such a stream it is
-/// checked.
+/// Takes an engine for dead if another instance found it dead and a stream of this instance is silent there. Without
+/// such a stream the engine is checked.
 void RelayReducer::on(const event::EnginesReportedDead& reported, Context& context)
 {
     for (const auto& [id, server] : m_fleet.servers()) {
         const auto& keys = reported.engines;
-        if (server.isDead(context.now) || std::find(keys.begin(), keys.end(), server.others.engine) == keys.end())
+        if (server.isDead(context.now) || std::find(keys.begin(), keys.end(), server.othersLoad.engine) == keys.end())
             continue;
         if (!hasSilentStreamThrough(id, context.now)) {
             checkUrgently(*m_fleet.find(id), context);
             continue;
         }
-        m_fleet.reportedDead(id, context.now);
-        context.effects.emplace_back(
-            effect::NoteBelief { effect::NoteBelief::Belief::ReportedDead, id, server.entry.startedAt });
-        leaveDeadEngine(id, context);
+        m_fleet.recordReportedDead(id, context.now);
+        context.effects.emplace_back(effect::LogServerState {
+            effect::LogServerState::ServerStateChange::ReportedDead, id, server.entry.startedAt });
+        abandonDeadEngine(id, context);
     }
 }
 
+/// @return whether a running stream of this instance uses the engine and is silent
 bool RelayReducer::hasSilentStreamThrough(const BackendId& engine, TimePoint now) const
 {
     return std::any_of(m_calls.begin(), m_calls.end(), [&](const auto& each) {
@@ -285,12 +303,15 @@
     });
 }
 
-void RelayReducer::leaveDeadEngine(const BackendId& engine, Context& context)
+/// Moves all silent streams that may be repeated off a dead engine.
+void RelayReducer::abandonDeadEngine(const BackendId& engine, Context& context)
 {
     for (auto& [id, call] : m_calls) {
-        const bool runs = call.state == CallState::Running && !call.second && call.main.reroute.hops().empty();
-        if (runs && isRepeatable(call.route->kind) && call.main.chain.contains(engine) && isSilent(call, context.now))
-            leaveStages(call, { engine }, context);
+        const bool isMovable
+            = call.state == CallState::Running && !call.second && call.main.pendingReroute.hops().empty();
+        if (isMovable && isRepeatable(call.route->kind) && call.main.chain.contains(engine)
+            && isSilent(call, context.now))
+            abandonStages(call, { engine }, context);
     }
 }
 
--- a/src/relay/RelayReducerCrashes.cpp
+++ b/src/relay/RelayReducerCrashes.cpp
@@ -1,8 +1,8 @@
-// What RelayReducer does about requests under which servers end.
+// How RelayReducer detects and quarantines requests that crash servers.
 //
-// The load pattern that this answers: callers send a request that crashes each server that runs it, again and again, to
-// any instance. Each crash ends all other streams through that server, and it comes back empty: a few such requests
-// keep a fleet from answering anybody.
+// Load pattern: callers send a request that crashes each server that runs it, again and again, to any instance. Each
+// crash ends all other streams through that server, which restarts empty. A few such requests keep a whole fleet from
+// answering any caller.
 
 #include "relay/RelayReducer.h"
 
@@ -12,69 +12,72 @@
 
 namespace {
 
-    /// How often it is looked whether a held call may go on.
-    constexpr Duration HoldStep = std::chrono::milliseconds(50);
-    /// Between two probes of a server where the first did not tell whether it lives.
-    constexpr Duration ProbeInterval = std::chrono::milliseconds(400);
-    /// A call is held so long at most: by then each end has been told from the loss of a group, or cannot be.
-    constexpr Duration LongestHold = std::chrono::milliseconds(1000);
+    /// Between two checks whether a held call may be queued.
+    constexpr Duration HoldCheckInterval = std::chrono::milliseconds(50);
+    /// Between two probes of a server if the first did not show whether it is alive.
+    constexpr Duration ReprobeInterval = std::chrono::milliseconds(400);
+    /// Longest time that a call is held. By then it is known whether each server end belongs to a group failure, or it
+    /// cannot be known.
+    constexpr Duration MaxHold = std::chrono::milliseconds(1000);
 
-    /// @return what the end of a server tells of a call that had an attempt there
+    /// @return how strongly the end of a server suggests that an attempt there caused it
     CrashSign signOf(const Call& call, const Attempt& attempt)
     {
-        if (!attempt.sent || call.ranSoundly)
+        if (!attempt.wasSent || call.wasHarmless)
             return CrashSign::None;
-        // A plain service's answer comes whole: nothing shows that it has begun.
+        // A plain service sends its answer as a whole, so nothing shows when the server began to run the call.
         if (!isStream(call.route->kind))
             return CrashSign::JustBegun;
-        if (!attempt.begunAt)
+        if (!attempt.answerBegunAt)
             return CrashSign::Waiting;
-        const bool hasRun = attempt.events && call.lastProgress - *attempt.begunAt >= SoundRun;
+        const bool hasRun = attempt.eventsDelivered && call.lastProgress - *attempt.answerBegunAt >= MinHarmlessRun;
         return hasRun ? CrashSign::None : CrashSign::JustBegun;
     }
 
 } // namespace
 
+/// @return whether crashes count against requests; false if the quarantine is disabled
 bool RelayReducer::countsCrashes() const { return !m_options.without.has(Mechanism::Quarantine); }
 
-/// @return what the end of a server tells of a call that had an attempt there; nothing where its request lately ran
-/// well
+/// @return how strongly the end of a server suggests that an attempt there caused it; CrashSign::None if the request
+/// recently ran soundly
 CrashSign RelayReducer::crashSign(const Call& call, const Attempt& attempt) const
 {
-    return m_soundRequests.contains(call.identity) ? CrashSign::None : signOf(call, attempt);
+    return m_harmlessRequests.contains(call.identity) ? CrashSign::None : signOf(call, attempt);
 }
 
-/// An attempt broke off, or was given up at a server that may be dead.
-void RelayReducer::noteLost(const Call& call, const Attempt& attempt, Context& context)
+/// Records an attempt that broke off, or that was cancelled at a server that may be dead. It becomes evidence against
+/// the request if one of its servers turns out to have ended.
+void RelayReducer::recordLostAttempt(const Call& call, const Attempt& attempt, Context& context)
 {
     const CrashSign sign = crashSign(call, attempt);
     if (sign == CrashSign::None || !countsCrashes())
         return;
     std::vector<std::uint64_t> servers;
     if (const FleetServer* first = m_fleet.find(attempt.server))
-        servers.push_back(first->others.engine);
+        servers.push_back(first->othersLoad.engine);
     for (const Hop& hop : attempt.chain.hops()) {
         const FleetServer* server = m_fleet.find(hop.backend);
         if (server && hop.backend != attempt.server && (server->beingChecked || server->isDead(context.now)))
-            servers.push_back(server->others.engine);
+            servers.push_back(server->othersLoad.engine);
     }
     m_crashEvidence.noteLost({ call.identity, sign }, std::move(servers), context.now);
-    askUnsettledServers(context);
+    checkUnsettledServers(context);
 }
 
-/// Servers under which attempts broke off are asked whether they live. The answer to an earlier question does not
-/// count.
-void RelayReducer::askUnsettledServers(Context& context)
+/// Checks or probes the servers of attempts that broke off, to learn which are alive. A check that was sent before the
+/// attempt broke off does not count.
+void RelayReducer::checkUnsettledServers(Context& context)
 {
     const auto unsettled = m_crashEvidence.unsettledServers();
     if (unsettled.empty())
         return;
     for (const auto& [id, server] : m_fleet.servers()) {
-        const auto since = unsettled.find(server.others.engine);
+        const auto since = unsettled.find(server.othersLoad.engine);
         if (since == unsettled.end())
             continue;
         const bool isProbeDue = server.nextProbe && context.now >= *server.nextProbe;
-        if (server.lastCheck >= since->second && !isProbeDue)
+        if (server.lastCheckAt >= since->second && !isProbeDue)
             continue;
         if (server.isEngine())
             checkUrgently(*m_fleet.find(id), context);
@@ -83,14 +86,14 @@
     }
 }
 
-/// A plain server gives no report; its health check names the start that answers.
+/// Sends a health check to a plain server, which answers no engine check. The answer names the start of its process.
 void RelayReducer::probe(FleetServer& server, Context& context)
 {
     const Service* service = m_routes ? m_routes->service(server.entry.service) : nullptr;
     if (server.beingChecked || !service || service->healthPath.empty() || !m_checkBudget.spendUrgent())
         return;
     server.beingChecked = true;
-    server.lastCheck = context.now;
+    server.lastCheckAt = context.now;
     context.effects.emplace_back(effect::ProbeServer { server.entry.id, server.entry.address, service->healthPath });
 }
 
@@ -98,26 +101,27 @@
 {
     FleetServer* server = m_fleet.find(probed.server);
     if (!server || !server->beingChecked)
-        return; // Another start has taken its place.
+        return; // The server was replaced by a later start.
     using Finding = event::ServerProbed::Finding;
     server->beingChecked = false;
     server->nextProbe.reset();
     if (probed.finding == Finding::Alive)
-        m_crashEvidence.noteAlive(server->others.engine);
+        m_crashEvidence.noteAlive(server->othersLoad.engine);
     else if (probed.finding == Finding::Ended)
-        noteServerEnded(*server, context);
+        recordServerEnded(*server, context);
     else
-        server->nextProbe = context.now + ProbeInterval;
+        server->nextProbe = context.now + ReprobeInterval;
 }
 
-/// A server's process has ended. One that was leaving has done so by itself.
-void RelayReducer::noteServerEnded(const FleetServer& server, Context& context)
+/// Records that a server's process has ended, with the calls that it was running. A leaving server ends on purpose and
+/// is not counted.
+void RelayReducer::recordServerEnded(const FleetServer& server, Context& context)
 {
     if (server.entry.leaving || !countsCrashes())
         return;
     std::vector<CrashSuspect> running;
     const auto consider = [&](const Call& call, const Attempt& attempt) {
-        const CrashSign sign = attempt.passes(server.entry.id) ? crashSign(call, attempt) : CrashSign::None;
+        const CrashSign sign = attempt.usesServer(server.entry.id) ? crashSign(call, attempt) : CrashSign::None;
         if (sign != CrashSign::None)
             running.push_back({ call.identity, sign });
     };
@@ -128,26 +132,29 @@
         if (call.second)
             consider(call, *call.second);
     }
-    if (m_crashEvidence.noteEnded(server.others.engine, std::move(running), context.now, server.lastAliveAt))
-        context.effects.emplace_back(
-            effect::NoteBelief { effect::NoteBelief::Belief::ProcessEnded, server.entry.id, server.entry.startedAt });
+    if (m_crashEvidence.noteEnded(server.othersLoad.engine, std::move(running), context.now, server.lastAliveAt))
+        context.effects.emplace_back(effect::LogServerState {
+            effect::LogServerState::ServerStateChange::ProcessEnded, server.entry.id, server.entry.startedAt });
 }
 
+/// Counts the server ends that are now known to be crashes, and shares them with the other instances.
 void RelayReducer::settleCrashes(Context& context)
 {
-    askUnsettledServers(context);
-    CrashEvidence::Findings findings = m_crashEvidence.settle(context.now);
+    checkUnsettledServers(context);
+    CrashEvidence::Findings findings = m_crashEvidence.classifyEnds(context.now);
     m_counters.crashesDismissed += findings.dismissed.size();
     for (const CrashReport& report : findings.dismissed)
-        context.effects.emplace_back(effect::NoteCrash { report, false });
+        context.effects.emplace_back(effect::LogCrash { report, false });
     for (const CrashReport& report : findings.crashes)
         countCrash(report, true, context);
     if (!findings.crashes.empty())
         context.effects.emplace_back(effect::ShareCrashes { std::move(findings.crashes) });
-    m_quarantine.forgetOld(context.now);
-    releaseHeld(context);
+    m_quarantine.removeExpired(context.now);
+    releaseHeldCalls(context);
 }
 
+/// Counts a crash against its request, and quarantines the request if there is enough evidence.
+/// @param isOwn  whether this instance saw the crash, rather than learning of it from another one
 void RelayReducer::countCrash(const CrashReport& report, bool isOwn, Context& context)
 {
     const RequestQuarantine::Change change = m_quarantine.add(report, context.now);
@@ -155,20 +162,22 @@
         return;
     ++m_counters.crashesCounted;
     if (isOwn)
-        context.effects.emplace_back(effect::NoteCrash { report, true });
+        context.effects.emplace_back(effect::LogCrash { report, true });
     if (change == RequestQuarantine::Change::Quarantined)
         quarantine(report.suspect.request, isOwn, context);
 }
 
+/// Ends the open calls of a request that was just quarantined.
+/// @param isOwn  whether this instance came to the verdict first
 void RelayReducer::quarantine(const RequestIdentity& request, bool isOwn, Context& context)
 {
     ++m_counters.quarantined;
-    const auto servers = static_cast<std::uint32_t>(m_quarantine.servers(request));
+    const auto servers = static_cast<std::uint32_t>(m_quarantine.serverCount(request));
     context.effects.emplace_back(effect::QuarantineRequest { request, servers, m_quarantine.points(request), isOwn });
     std::vector<RequestId> open;
     for (const auto& [id, call] : m_calls) {
-        // A stream whose caller has a part of it speaks for the request: it may end by itself.
-        if (call.identity == request && !call.answering)
+        // A partly delivered stream is evidence in favour of the request, so it may complete.
+        if (call.identity == request && !call.hasPartialAnswer)
             open.push_back(id);
     }
     for (const RequestId& id : open) {
@@ -186,10 +195,10 @@
         countCrash(report, false, context);
 }
 
-void RelayReducer::on(const event::SoundRequestsReported& reported, Context& context)
+void RelayReducer::on(const event::HarmlessRequestsReported& reported, Context& context)
 {
     for (const RequestIdentity& request : reported.requests)
-        lift(request, false, context);
+        clearRequest(request, false, context);
 }
 
 void RelayReducer::on(const event::QuarantineListed& listed, Context& context)
@@ -198,10 +207,15 @@
         quarantine(listed.request, false, context);
 }
 
-void RelayReducer::on(const event::QuarantineLifted& lifted, Context& context) { lift(lifted.request, false, context); }
+void RelayReducer::on(const event::QuarantineLifted& lifted, Context& context)
+{
+    clearRequest(lifted.request, false, context);
+}
 
-/// @return whether anything was held against the request
-bool RelayReducer::lift(const RequestIdentity& request, bool isOwn, Context& context)
+/// Forgets all evidence against a request, and its quarantine.
+/// @param isOwn  whether this instance saw the request run soundly
+/// @return whether there was any evidence
+bool RelayReducer::clearRequest(const RequestIdentity& request, bool isOwn, Context& context)
 {
     const bool wasQuarantined = m_quarantine.isQuarantined(request, context.now);
     if (!m_quarantine.clear(request))
@@ -211,52 +225,53 @@
     return true;
 }
 
-/// A request that runs for longer than one that crashes its server does, or to its end, is sound, whatever ended beside
-/// it.
-void RelayReducer::noteSound(Call& call, Context& context)
+/// Records that a request is sound: it ran longer than a request that crashes its server, or to its end. Evidence from
+/// servers that ended while it was there is dropped.
+void RelayReducer::recordHarmlessRequest(Call& call, Context& context)
 {
-    call.ranSoundly = true;
-    m_soundRequests.add(call.identity);
-    if (!m_quarantine.empty() && lift(call.identity, true, context))
-        context.effects.emplace_back(effect::ShareSoundRequest { call.identity });
+    call.wasHarmless = true;
+    m_harmlessRequests.add(call.identity);
+    if (!m_quarantine.empty() && clearRequest(call.identity, true, context))
+        context.effects.emplace_back(effect::ShareHarmlessRequest { call.identity });
 }
 
-/// @return whether the ends of servers that are not judged yet may be enough to quarantine the request: then one more
-///         server for it could be one too many
-bool RelayReducer::awaitsVerdict(const Call& call) const
+/// Further attempts wait while this holds, because the next server could be one crash too many.
+/// @return whether server ends that are not settled yet may be enough to quarantine the request
+bool RelayReducer::awaitsCrashVerdict(const Call& call) const
 {
-    if (!countsCrashes() || call.ranSoundly)
+    if (!countsCrashes() || call.wasHarmless)
         return false;
-    const std::size_t open = m_crashEvidence.openCases(call.identity);
+    const std::size_t open = m_crashEvidence.unclassifiedEndCount(call.identity);
     const std::uint32_t each = RequestQuarantine::pointsOf(CrashSign::JustBegun);
     return open && m_quarantine.points(call.identity) + each * open >= RequestQuarantine::Limit;
 }
 
-/// Keeps a call out of the queue, where it would hold up those behind it.
-void RelayReducer::hold(Call& call, Context& context)
+/// Keeps a call out of the queue until there is a verdict on its request. In the queue it would block those behind it.
+void RelayReducer::holdCall(Call& call, Context& context)
 {
     call.state = CallState::Waiting;
-    call.holdEnd = std::min(call.deadline, context.now + LongestHold);
-    call.heldUntil = context.now + HoldStep;
-    call.waitUntil = std::max(call.waitUntil, *call.holdEnd);
+    call.holdDeadline = std::min(call.deadline, context.now + MaxHold);
+    call.nextHoldCheckAt = context.now + HoldCheckInterval;
+    call.waitUntil = std::max(call.waitUntil, *call.holdDeadline);
     ++m_counters.held;
 }
 
-void RelayReducer::releaseHeld(Context& context)
+/// Queues held calls whose request has a verdict, or that were held for long enough.
+void RelayReducer::releaseHeldCalls(Context& context)
 {
     std::vector<RequestId> due;
     for (const auto& [id, call] : m_calls) {
-        if (call.heldUntil && context.now >= *call.heldUntil)
+        if (call.nextHoldCheckAt && context.now >= *call.nextHoldCheckAt)
             due.push_back(id);
     }
     for (const RequestId& id : due) {
         Call& call = m_calls.at(id);
-        if (awaitsVerdict(call) && context.now < *call.holdEnd) {
-            call.heldUntil = context.now + HoldStep;
+        if (awaitsCrashVerdict(call) && context.now < *call.holdDeadline) {
+            call.nextHoldCheckAt = context.now + HoldCheckInterval;
             continue;
         }
-        call.heldUntil.reset();
-        enqueueAgain(call, context);
+        call.nextHoldCheckAt.reset();
+        requeue(call, context);
     }
 }
 
--- a/src/relay/RelayReducerPlacing.cpp
+++ b/src/relay/RelayReducerPlacing.cpp
@@ -1,4 +1,4 @@
-// How RelayReducer places calls: which waits, which runs where, and when a refused one should come back.
+// How RelayReducer queues and places calls, and when refused callers should retry.
 
 #include "relay/RelayReducer.h"
 #include "relay/ScaledDuration.h"
@@ -10,18 +10,20 @@
 
 namespace {
 
-    /// Half of the streams in flight end within about so long.
-    constexpr Duration LeastShortage = std::chrono::milliseconds(1300);
-    /// Callers heed a time to come back up to a third of what they have left, of 20 s on the users' platforms.
-    constexpr Duration LongestShortage = std::chrono::milliseconds(4000);
-    /// Parts of the expected rest of a shortage between which callers come back.
-    constexpr double LeastComeBack = 0.5;
-    constexpr double MostComeBack = 1.5;
-    /// Longest time for which an answer under way does not go back to a stage that turned it away.
-    constexpr Duration AnswerRetryPause = std::chrono::milliseconds(500);
+    /// Shortest expected rest of a shortage. About half of the streams in flight end within this time.
+    constexpr Duration MinExpectedShortage = std::chrono::milliseconds(1300);
+    /// Longest expected rest of a shortage. Callers ignore a Retry-After of more than a third of their remaining time,
+    /// which is 20 s at first on the users' platforms.
+    constexpr Duration MaxExpectedShortage = std::chrono::milliseconds(4000);
+    /// Retry-After times are spread between these multiples of the expected rest of a shortage.
+    constexpr double MinRetryAfterFactor = 0.5;
+    constexpr double MaxRetryAfterFactor = 1.5;
+    /// Longest time for which a partly delivered answer avoids a stage that rejected it.
+    constexpr Duration MaxAnswerRetryPause = std::chrono::milliseconds(500);
 
 } // namespace
 
+/// Places what can be placed. Interrupted answers come before the queues.
 void RelayReducer::dispatchAll(Context& context)
 {
     resumeInterrupted(context);
@@ -29,6 +31,7 @@
         dispatch(queue.waiting(), context);
 }
 
+/// Places the calls of a queue in order, up to the first one without capacity.
 void RelayReducer::dispatch(FairQueue& queue, Context& context)
 {
     while (const auto next = queue.pop()) {
@@ -43,25 +46,29 @@
     }
 }
 
+/// Starts the main attempt of a waiting call.
+/// @return false if the call has to wait for capacity
 bool RelayReducer::place(Call& call, Context& context)
 {
-    // A stream that the caller has a part of goes on in any case.
-    const bool limited = !m_options.without.has(Mechanism::StreamLimit);
-    if (limited && isStream(call.route->kind) && !call.answering && !queueOf(call).hasRoom())
+    // The concurrency limit does not apply to partly delivered streams.
+    const bool isLimited = !m_options.without.has(Mechanism::StreamLimit);
+    if (isLimited && isStream(call.route->kind) && !call.hasPartialAnswer && !queueOf(call).hasRoom())
         return false;
-    const AttemptPurpose purpose = call.hasFailed() ? AttemptPurpose::Retry : AttemptPurpose::First;
+    const AttemptPurpose purpose = call.hasFailedAttempt() ? AttemptPurpose::Retry : AttemptPurpose::First;
     auto attempt = startAttempt(call, purpose, context);
     if (!attempt)
         return false;
-    if (call.answering)
+    if (call.hasPartialAnswer)
         ++m_counters.resumed;
     call.state = CallState::Running;
     call.main = *std::move(attempt);
     call.lastProgress = context.now;
-    call.usualGap = Duration(0);
+    call.meanEventGap = Duration(0);
     return true;
 }
 
+/// Chooses servers for an attempt, books their capacity and emits StartAttempt.
+/// @return the attempt, or nothing if no server has capacity or a stage is being checked
 std::optional<Attempt> RelayReducer::startAttempt(Call& call, AttemptPurpose purpose, Context& context)
 {
     auto placement = m_placer.place(call, context.now, context.entropy);
@@ -71,7 +78,7 @@
     attempt.id = AttemptId(m_nextAttempt++);
     attempt.server = placement->server;
     attempt.chain = std::move(placement->chain);
-    attempt.started = context.now;
+    attempt.startedAt = context.now;
     m_attempts[attempt.id] = call.id;
     queueOf(call).started();
     if (attempt.chain.hops().empty())
@@ -86,8 +93,8 @@
     start.address = placement->address;
     start.chain = attempt.chain;
     start.remaining = call.deadline - context.now;
-    if (call.answering || call.spec.resumeAfter)
-        start.resumeAfter = call.lastEvent;
+    if (call.hasPartialAnswer || call.spec.resumeAfter)
+        start.resumeAfter = call.lastEventId;
     start.route = call.route->id.value();
     start.workspace = call.workspace.value();
     start.stream = isStream(call.route->kind);
@@ -96,11 +103,12 @@
     return attempt;
 }
 
-Duration RelayReducer::comeBackAfter(Reason reason, const Context& context) const
+/// @return when the caller should retry after a refusal for a reason other than NoCapacity; zero if a retry is useless
+Duration RelayReducer::retryAfterFor(Reason reason, const Context& context) const
 {
-    const auto between = [&](std::int64_t leastMs, std::int64_t mostMs) {
-        const double part = spread(context.entropy, static_cast<std::uint64_t>(reason));
-        const double ms = static_cast<double>(leastMs) + part * static_cast<double>(mostMs - leastMs);
+    const auto between = [&](std::int64_t minMs, std::int64_t maxMs) {
+        const double fraction = uniformFraction(context.entropy, static_cast<std::uint64_t>(reason));
+        const double ms = static_cast<double>(minMs) + fraction * static_cast<double>(maxMs - minMs);
         return Duration(static_cast<std::int64_t>(ms * 1000));
     };
     switch (reason) {
@@ -113,45 +121,53 @@
     }
 }
 
-/// A shortage that has lasted for some time is expected to last as long again: its causes range from a burst of half a
-/// second to an engine whose layers are loaded elsewhere in five. A caller comes back once or twice only, so one that
-/// comes back too early is not served at all. The spread keeps the return from being a wave.
-Duration RelayReducer::comeBackAfterShortage(ServiceQueue& queue, const Context& context) const
+/// Notes a refusal for lack of capacity and returns when the caller should retry.
+///
+/// A shortage is expected to last for as long again as it has lasted, because its causes range from a burst of half a
+/// second to an engine whose layers take five seconds to load elsewhere. Callers retry only once or twice, so one that
+/// retries too early is not served at all. The times are spread so that callers do not return all at once.
+Duration RelayReducer::retryAfterShortage(ServiceQueue& queue, const Context& context) const
 {
     const Duration shortage = queue.refused(context.now);
     const Duration lasted = m_options.without.has(Mechanism::ComeBackTime) ? Duration(0) : shortage;
-    const Duration expected = std::clamp(lasted, LeastShortage, LongestShortage);
-    const double part = spread(context.entropy, static_cast<std::uint64_t>(Reason::NoCapacity));
-    return scaled(expected, LeastComeBack + part * (MostComeBack - LeastComeBack));
+    const Duration expected = std::clamp(lasted, MinExpectedShortage, MaxExpectedShortage);
+    const double fraction = uniformFraction(context.entropy, static_cast<std::uint64_t>(Reason::NoCapacity));
+    return scaled(expected, MinRetryAfterFactor + fraction * (MaxRetryAfterFactor - MinRetryAfterFactor));
 }
 
-/// This instance's share of the retries that all may make beyond the ratio.
+/// @return this instance's share of the retries that all instances may make beyond the retry ratio
 double RelayReducer::retryBurst() const { return std::max(2.0, m_options.retrySlack / m_placer.instances()); }
 
-double RelayReducer::ripeShare() const
+/// @return the share of the retry burst, from 0 to 1, that is granted at the present age of the process
+double RelayReducer::retryBurstShare() const
 {
-    if (m_options.retryRipening.count() <= 0)
+    if (m_options.retryBurstRampUp.count() <= 0)
         return 1;
     const double age = std::chrono::duration<double>(m_now - m_startedAt.value_or(m_now)).count();
-    return std::min(1.0, age / std::chrono::duration<double>(m_options.retryRipening).count());
+    return std::min(1.0, age / std::chrono::duration<double>(m_options.retryBurstRampUp).count());
 }
 
+/// @return the retry budget of a service, which is created on first use
 RetryBudget& RelayReducer::budgetOf(const ServiceId& service)
 {
-    return m_budgets.try_emplace(service, m_options.retryRatio, retryBurst(), ripeShare()).first->second;
+    return m_budgets.try_emplace(service, m_options.retryRatio, retryBurst(), retryBurstShare()).first->second;
 }
 
-/// A call that a stage has just turned away goes there again only after that stage's pause: attempts at the one engine
-/// that is left would spend retries for nothing. An answer under way waits less: its caller leaves within seconds.
+/// Keeps a call from a stage that failed or rejected it until the stage's avoidance time is over. Otherwise attempts at
+/// the only engine left would spend retries for nothing. A partly delivered answer waits less, because its caller gives
+/// up within seconds.
+/// @return whether a stage of the chain is still to be avoided by this call
 bool RelayReducer::isKnownFull(const Call& call, const Chain& chain, TimePoint now) const
 {
     return std::any_of(chain.hops().begin(), chain.hops().end(), [&](const Hop& hop) {
         const auto server = m_fleet.servers().find(hop.backend);
-        const bool refusedIt = std::find(call.avoid.begin(), call.avoid.end(), hop.backend) != call.avoid.end();
-        if (!refusedIt || server == m_fleet.servers().end())
+        const bool isAvoided = std::find(call.avoidedServers.begin(), call.avoidedServers.end(), hop.backend)
+            != call.avoidedServers.end();
+        if (!isAvoided || server == m_fleet.servers().end())
             return false;
         const TimePoint until = server->second.avoidUntil;
-        return now < (call.answering ? std::min(until, server->second.turnedAwayAt + AnswerRetryPause) : until);
+        return now
+            < (call.hasPartialAnswer ? std::min(until, server->second.lastRejectedAt + MaxAnswerRetryPause) : until);
     });
 }
 
--- a/tests/fakes/NoControl.h
+++ b/tests/fakes/RefusingEngineControl.h
@@ -4,8 +4,8 @@
 
 namespace crocusmount {
 
-/// Engines that live and take no orders.
-class NoControl final : public EngineControl {
+/// Engine control that reports every engine as alive and refuses every order with status 409.
+class RefusingEngineControl final : public EngineControl {
 private:
     Awaitable<EngineReport> onCheck(std::string) override { co_return EngineReport { CheckAnswer::Alive, 1, {}, {} }; }
     Awaitable<ServerIdentity> onIdentify(std::string, std::string) override { co_return ServerIdentity {}; }
